--- a/internal/control/watchers/watchers_test.go
+++ b/internal/control/watchers/watchers_test.go
@@ -15,8 +15,8 @@
 	return ids
 }
 
-// asking counts the instances of a fleet that ask.
-func asking(n int, age time.Duration, change func(*Facts)) int {
+// countCallers returns how many instances of a fleet of n call the store.
+func countCallers(n int, age time.Duration, change func(*Facts)) int {
 	count := 0
 	for _, id := range members(n) {
 		f := Facts{Self: id, Members: members(n), Running: time.Minute, Others: true, Silence: 100 * time.Millisecond, Overdue: 6 * time.Second, Patience: 6 * time.Second}
@@ -28,77 +28,73 @@
 	return count
 }
 
-func same(*Facts) {}
+func unchanged(*Facts) {}
 
-// Symptom: the store refuses calls of everybody while it comes back after an
-// outage.
-// Events: the store is away for 9 s; from 6 s on no instance has fresh word of
-// it, and all of 295 ask.
-// Cause: each instance decided by the age of its own word alone.
+// Guards against a store that throttles the whole fleet while it recovers from an
+// outage: after 6 s of a 9 s outage no instance has a recent answer, and all 295
+// call the store if each decides by the age of its newest answer alone.
 func TestAnOutageDoesNotMakeEveryInstanceAsk(t *testing.T) {
 	for _, n := range []int{8, 58, 295} {
 		for _, c := range []struct {
 			age  time.Duration
 			most int
 		}{{time.Second, 8}, {5900 * time.Millisecond, 8}, {7 * time.Second, 8}, {9 * time.Second, 16}, {13 * time.Second, 32}} {
-			if got, want := asking(n, c.age, same), min(c.most, n); got != want {
-				t.Errorf("%d instances, word %v old: %d ask, want %d", n, c.age, got, want)
+			if got, want := countCallers(n, c.age, unchanged), min(c.most, n); got != want {
+				t.Errorf("%d instances, newest answer %v old: %d call the store, want %d", n, c.age, got, want)
 			}
 		}
 	}
 }
 
-// Symptom: an instance serves routes that were replaced long ago.
-// Events: the watchers lose the store for good, others reach it.
-// Cause: nobody but the first in rank ever asks.
-func TestInTheEndEveryInstanceAsks(t *testing.T) {
-	if got := asking(295, 6*time.Second+6*StepEvery, same); got != 295 {
-		t.Errorf("%d of 295 ask after six steps", got)
+// Guards against an instance that serves routes replaced long ago: the watchers lose
+// the store permanently while other instances reach it, and only the first in rank
+// ever call it.
+func TestEveryInstanceAsksEventually(t *testing.T) {
+	if got := countCallers(295, 6*time.Second+6*StepEvery, unchanged); got != 295 {
+		t.Errorf("%d of 295 instances call the store after six steps", got)
 	}
-	if got := asking(295, math.MaxInt64, same); got != 295 {
-		t.Errorf("%d of 295 ask that never heard", got)
+	if got := countCallers(295, math.MaxInt64, unchanged); got != 295 {
+		t.Errorf("%d of 295 instances that know of no answer call the store", got)
 	}
 }
 
-// Symptom: an instance that reaches the store and no other instance goes on
-// with an old configuration for half a minute.
-// Events: its links to the others are cut; its rank is low.
-// Cause: it waited for its turn as if it could still hear from the others.
-func TestWhoHearsNobodyAsksAtOnce(t *testing.T) {
+// Guards against an instance of low rank that keeps an old configuration for half a
+// minute: its connections to all other instances are cut, it reaches the store, and
+// it waits for its turn as if it still received changes from the others.
+func TestInstanceCutOffFromPeersAsksAtOnce(t *testing.T) {
 	silent := func(f *Facts) { f.Silence = 3 * time.Second }
-	if got := asking(295, 6100*time.Millisecond, silent); got != 295 {
-		t.Errorf("%d of 295 ask that hear nobody", got)
+	if got := countCallers(295, 6100*time.Millisecond, silent); got != 295 {
+		t.Errorf("%d of 295 instances without messages from peers call the store", got)
 	}
-	if got := asking(295, time.Second, silent); got != 8 {
-		t.Errorf("%d ask though their word is fresh, want 8", got)
+	if got := countCallers(295, time.Second, silent); got != 8 {
+		t.Errorf("%d instances call the store although their newest answer is recent, want 8", got)
 	}
 }
 
-// Symptom: an instance goes on with an old configuration for half a minute, though
-// it reaches the store and hears that there is a newer one.
-// Events: its own connections to the others are cut, theirs to it are not.
-// Cause: it waited for its turn, since it is not cut off from the others' word.
-func TestWhoHearsAndCannotFetchAsksAtOnce(t *testing.T) {
+// Guards against an instance that keeps an old configuration for half a minute: its
+// own connections to the others are cut while theirs to it are not, so that it
+// learns of a newer configuration but cannot pull it. It waits for its turn because
+// it does not count as cut off.
+func TestInstanceThatCannotPullAsksAtOnce(t *testing.T) {
 	behind := func(f *Facts) { f.Behind = true }
-	if got := asking(295, 6100*time.Millisecond, behind); got != 295 {
-		t.Errorf("%d of 295 ask that are behind", got)
+	if got := countCallers(295, 6100*time.Millisecond, behind); got != 295 {
+		t.Errorf("%d of 295 instances that are behind call the store", got)
 	}
-	if got := asking(295, 5*time.Second, behind); got != 8 {
-		t.Errorf("%d ask though their word is not overdue, want 8", got)
+	if got := countCallers(295, 5*time.Second, behind); got != 8 {
+		t.Errorf("%d instances call the store although no answer is overdue, want 8", got)
 	}
 }
 
-// Symptom: hundreds of watches in the first second after all instances started,
-// each ended by every target that registers.
-// Events: 295 instances start together, each alone in its own list of members.
-// Cause: who is alone ranks first.
-func TestNobodyWatchesBeforeItCouldMeetOthers(t *testing.T) {
+// Guards against hundreds of watches in the first second after 295 instances have
+// started together, each of which ends with every target that registers: an instance
+// that knows no other member yet ranks first.
+func TestNewInstanceDoesNotWatchBeforeItCanKnowMembers(t *testing.T) {
 	alone := func(f *Facts) { f.Members, f.Running = nil, time.Second }
-	if got := asking(295, time.Second, alone); got != 0 {
-		t.Errorf("%d of 295 watch in their first second", got)
+	if got := countCallers(295, time.Second, alone); got != 0 {
+		t.Errorf("%d of 295 instances watch in their first second", got)
 	}
 	only := func(f *Facts) { f.Members, f.Running, f.Others = nil, 0, false }
-	if got := asking(1, time.Second, only); got != 1 {
+	if got := countCallers(1, time.Second, only); got != 1 {
 		t.Error("an instance without others must watch at once")
 	}
 }
@@ -124,22 +120,22 @@
 		{65, 8 + 8}, // the store itself is assumed to be unavailable
 		{295, 8},
 	} {
-		if got := asking(295, time.Second, withStoreLost(c.lost)); got != c.want {
-			t.Errorf("%d of 295 instances lost the store: %d ask, want %d", c.lost, got, c.want)
+		if got := countCallers(295, time.Second, withStoreLost(c.lost)); got != c.want {
+			t.Errorf("%d of 295 instances lost the store: %d call it, want %d", c.lost, got, c.want)
 		}
 	}
 }
 
-// Guards against instances that do not ask the store until many failed members that
-// rank before them are suspected one by one.
+// Guards against instances that do not call the store until many failed members that
+// rank before them have been suspected one by one.
 func TestUnansweredCallsLowerTheRank(t *testing.T) {
 	for _, c := range []struct {
 		unansweredShare float64
 		want            int
 	}{{0, 8}, {0.5, 16}, {0.75, 32}, {1, 295}} {
-		got := asking(295, time.Second, func(f *Facts) { f.UnansweredShare = c.unansweredShare })
+		got := countCallers(295, time.Second, func(f *Facts) { f.UnansweredShare = c.unansweredShare })
 		if got != c.want {
-			t.Errorf("share of unanswered calls %.1f: %d of 295 instances ask, want %d", c.unansweredShare, got, c.want)
+			t.Errorf("share of unanswered calls %.1f: %d of 295 instances call the store, want %d", c.unansweredShare, got, c.want)
 		}
 	}
 }
