--- a/internal/control/loop/loop.go
+++ b/internal/control/loop/loop.go
@@ -1,5 +1,6 @@
-// Package loop runs a controller's step again and again: at a jittered period
-// and, sooner, when something it reads has changed.
+// Package loop runs a controller's step periodically, with jitter, and sooner when
+// data that the step reads has changed. It also provides the cancellable sleeps,
+// timeouts and sets of tasks that controllers use.
 package loop
 
 import (
@@ -11,7 +12,7 @@
 	"lynxhill.example/lynxhill/internal/clock"
 )
 
-// Rand is a seeded source that several goroutines may use.
+// Rand is a seeded random source that is safe for concurrent use.
 type Rand struct {
 	mu  sync.Mutex // guards src
 	src *rand.Rand
@@ -32,13 +33,13 @@
 	return r.src.Float64()
 }
 
-// Spread returns d varied by up to share in both directions, so that instances
-// started together do not call the platform in step.
+// Spread returns d with a jitter of up to share in both directions, so that
+// instances started together do not call the platform at the same time.
 func (r *Rand) Spread(d time.Duration, share float64) time.Duration {
 	return time.Duration(float64(d) * (1 - share + 2*share*r.Float64()))
 }
 
-// Options govern a loop.
+// Options configure a loop.
 type Options struct {
 	Clock  clock.Clock
 	Rand   *Rand
@@ -46,11 +47,11 @@
 	// Jitter is the share by which each period varies.
 	Jitter float64
 	// Changed, if set, returns a channel that is closed at the next change of
-	// what the step reads; it is taken before the step runs, so that no
-	// change is missed.
+	// what the step reads. Run calls it before each step, so that no change is
+	// missed.
 	Changed func() <-chan struct{}
-	// Settle is the shortest time between two steps, so that many changes at
-	// once cause one step.
+	// Settle is the shortest time between two steps, so that many simultaneous
+	// changes cause one step.
 	Settle time.Duration
 }
 
@@ -74,8 +75,8 @@
 	return SleepOr(ctx, c, d, nil)
 }
 
-// SleepOr waits for d or until woken is closed, and returns false if ctx ended
-// first. woken may be nil.
+// SleepOr waits for d or until woken is readable or closed, and returns false if ctx
+// ended first. woken may be nil.
 func SleepOr(ctx context.Context, c clock.Clock, d time.Duration, woken <-chan struct{}) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
@@ -92,7 +93,8 @@
 	}
 }
 
-// WithTimeout returns a context that ends after d by the given clock.
+// WithTimeout returns a context that is cancelled after d by the given clock, with
+// context.DeadlineExceeded as its cause.
 func WithTimeout(ctx context.Context, c clock.Clock, d time.Duration) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	timer := c.AfterFunc(d, func() { cancel(context.DeadlineExceeded) })
--- a/internal/control/loop/loop_test.go
+++ b/internal/control/loop/loop_test.go
@@ -41,21 +41,21 @@
 	})
 }
 
-// Symptom: an order reaches an engine minutes after its lease ended.
-// Events: the machine is suspended between the check of the lease and the
-// sending of the order. Cause: the call's timer did not run meanwhile.
+// Guards against an order that reaches an engine minutes after the sender's lease
+// has expired: the host is suspended between the check of the lease and the sending
+// of the order, and the call's timer does not run during the suspension.
 func TestBootDeadlineEndsAfterSuspension(t *testing.T) {
 	var now time.Duration
 	boot := clock.BootFunc(func() time.Duration { return now })
 	ctx := WithBootDeadline(t.Context(), boot, 5*time.Second)
 	if ctx.Err() != nil {
-		t.Fatal("ended before its time")
+		t.Fatal("context done before its deadline")
 	}
 	now = time.Minute
 	derived, cancel := context.WithCancel(ctx) // as an HTTP client does
 	defer cancel()
 	if ctx.Err() == nil || derived.Err() == nil {
-		t.Fatal("not ended after the suspension")
+		t.Fatal("context not done after the suspension")
 	}
 }
 
--- a/internal/control/loop/tasks_test.go
+++ b/internal/control/loop/tasks_test.go
@@ -8,18 +8,19 @@
 	"testing/synctest"
 )
 
-// Symptom, if not: a target is polled twice at once, or still after it left.
+// Guards against a target that is polled by two tasks at once, or still polled after
+// it has left the set.
 func TestTasksFollowTheWantedKeys(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var mu sync.Mutex // guards begun and running
-		begun, running := make(map[string]int), make(map[string]int)
+		var mu sync.Mutex // guards started and running
+		started, running := make(map[string]int), make(map[string]int)
 		count := func(of map[string]int, key string, by int) {
 			mu.Lock()
 			defer mu.Unlock()
 			of[key] += by
 		}
 		tasks := NewTasks(func(ctx context.Context, key string) {
-			count(begun, key, 1)
+			count(started, key, 1)
 			count(running, key, 1)
 			<-ctx.Done()
 			count(running, key, -1)
@@ -33,8 +34,8 @@
 				}
 			}
 		}
-		if begun["a"] != 2 || begun["b"] != 1 || tasks.Len() != 0 {
-			t.Errorf("begun %v, %d left", begun, tasks.Len())
+		if started["a"] != 2 || started["b"] != 1 || tasks.Len() != 0 {
+			t.Errorf("tasks started: %v, tasks not stopped: %d", started, tasks.Len())
 		}
 		tasks.Stop()
 	})
