--- a/internal/control/rendezvous/rendezvous.go
+++ b/internal/control/rendezvous/rendezvous.go
@@ -1,6 +1,6 @@
-// Package rendezvous ranks members for a key by rendezvous hashing, so that
-// all instances that see the same members pick the same few of them, and a
-// member that joins or leaves moves only the keys that it wins or loses.
+// Package rendezvous ranks members for a key by rendezvous (highest random weight)
+// hashing: all instances that see the same members choose the same ones for a key,
+// and a member that joins or leaves moves only the keys assigned to it.
 package rendezvous
 
 import (
@@ -9,7 +9,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Score is the weight of the member for the key; the highest wins.
+// Score returns the weight of the member for the key. The member with the highest
+// weight ranks first.
 func Score(key, member string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -19,7 +20,7 @@
 	return d.Sum64()
 }
 
-// Top returns the n members with the highest scores, best first.
+// Top returns the n members with the highest scores, highest first.
 func Top(key string, members []string, n int) []string {
 	ranked := append([]string(nil), members...)
 	sort.Slice(ranked, func(i, j int) bool {
@@ -32,8 +33,8 @@
 	return ranked[:min(n, len(ranked))]
 }
 
-// Position returns how many of the members other than self rank before self:
-// 0 for the best.
+// Position returns how many of the members other than self rank before self: 0 if
+// self ranks first.
 func Position(key, self string, members []string) int {
 	own := Score(key, self)
 	before := 0
--- a/internal/control/rendezvous/rendezvous_test.go
+++ b/internal/control/rendezvous/rendezvous_test.go
@@ -20,20 +20,20 @@
 		key := fmt.Sprint("key-", k)
 		for want, m := range Top(key, all, len(all)) {
 			if got := Position(key, m, all); got != want {
-				t.Fatalf("key %s member %s: position %d, top has it at %d", key, m, got, want)
+				t.Fatalf("key %s member %s: position %d, index in Top %d", key, m, got, want)
 			}
 		}
 	}
 }
 
-func TestLeaverMovesOnlyItsOwnKeys(t *testing.T) {
+func TestRemovedMemberMovesOnlyItsOwnKeys(t *testing.T) {
 	all := members(20)
-	left := slices.Delete(slices.Clone(all), 7, 8)
+	remaining := slices.Delete(slices.Clone(all), 7, 8)
 	for k := range 500 {
 		key := fmt.Sprint("key-", k)
-		before, after := Top(key, all, 1)[0], Top(key, left, 1)[0]
+		before, after := Top(key, all, 1)[0], Top(key, remaining, 1)[0]
 		if before != all[7] && before != after {
-			t.Fatalf("key %s moved from %s to %s although neither left", key, before, after)
+			t.Fatalf("key %s moved from %s to %s although neither was removed", key, before, after)
 		}
 	}
 }
