--- a/internal/control/reach/caller.go
+++ b/internal/control/reach/caller.go
@@ -7,20 +7,20 @@
 	"lynxhill.example/lynxhill/internal/wire/targetapi"
 )
 
-// observing is a Caller whose calls are observed.
-type observing struct {
+// reportingCaller is a stagecall.Caller that reports the result of each call.
+type reportingCaller struct {
 	stagecall.Caller
 	observe func(target string, err error)
 }
 
-// Observing returns caller with the end of each run and load question told to
-// the controller. Frames count as answers as soon as they come.
+// Observing wraps caller so that the result of each Run and Load call is reported
+// to the controller. The first frame of a run counts as an answer on arrival.
 func Observing(caller stagecall.Caller, c *Controller) stagecall.Caller {
-	return &observing{Caller: caller, observe: c.Observe}
+	return &reportingCaller{Caller: caller, observe: c.Observe}
 }
 
 // Run implements stagecall.Caller.
-func (o *observing) Run(ctx context.Context, target stagecall.Target, req targetapi.RunRequest, opts stagecall.Options, onFrame func(targetapi.Frame) error) (stagecall.Result, error) {
+func (o *reportingCaller) Run(ctx context.Context, target stagecall.Target, req targetapi.RunRequest, opts stagecall.Options, onFrame func(targetapi.Frame) error) (stagecall.Result, error) {
 	first := true
 	result, err := o.Caller.Run(ctx, target, req, opts, func(frame targetapi.Frame) error {
 		if first {
@@ -33,9 +33,9 @@
 	return result, err
 }
 
-// Load implements stagecall.Caller. A question that ran out of time found no
-// way to the target.
-func (o *observing) Load(ctx context.Context, target stagecall.Target) (targetapi.LoadReport, error) {
+// Load implements stagecall.Caller. A load query that exceeds its deadline counts as
+// a failure to reach the target; one that the caller cancelled does not.
+func (o *reportingCaller) Load(ctx context.Context, target stagecall.Target) (targetapi.LoadReport, error) {
 	report, err := o.Caller.Load(ctx, target)
 	if err != nil && ctx.Err() != nil && context.Cause(ctx) != context.Canceled {
 		o.observe(target.ID, &stagecall.Failure{Class: stagecall.ClassSilent, Err: err})
--- a/internal/control/reach/reach.go
+++ b/internal/control/reach/reach.go
@@ -1,12 +1,13 @@
-// Package reach notices that this instance reaches none of its targets while
-// it is itself well, as when the network between them fails, and takes it out
-// of service until it reaches one again.
+// Package reach detects that this instance is healthy but reaches none of its
+// targets, for example because of a network failure, and takes the instance out of
+// service until a target answers again.
 //
-// What goes wrong without it: an instance that is cut off takes requests until
-// the fence of its configuration closes, some seconds later, and each of them
-// waits for targets that cannot hear it. Callers see only late errors. Here
-// the instance refuses new requests (not run, elsewhere) and gives up those it
-// has, so that their callers send them again in time.
+// Without this check, an instance that is cut off accepts requests until the age
+// limit of its configuration (fence) takes it out of service some seconds later, and
+// each request waits for targets that it cannot reach, so callers receive their
+// errors late. With the check, the instance refuses new requests, marked as not
+// executed so that another instance can run them, and abandons those in progress,
+// so that their callers can retry in time.
 package reach
 
 import (
@@ -36,11 +37,12 @@
 	Clock   clock.Clock
 	Logger  *event.Logger
 	Metrics *metrics.Registry
-	// Window is how long no target may have answered.
+	// Window is the time without an answer from any target after which the
+	// instance may count as cut off.
 	Window time.Duration
-	// MinTargets is how many distinct targets must have been tried in vain
-	// since one last answered; all of them if the board lists fewer. A few
-	// dead targets are no sign that this instance is cut off.
+	// MinTargets is the number of distinct targets that calls must have failed to
+	// reach since a target last answered; all of them if the board lists fewer. A
+	// few dead targets do not mean that this instance is cut off.
 	MinTargets int
 	Period     time.Duration // between two checks
 }
@@ -58,26 +60,26 @@
 	return o
 }
 
-// Controller keeps the CutOff mark of board.Self.
+// Controller maintains the CutOff field of board.Self.
 type Controller struct {
 	opts Options
 
-	mu       sync.Mutex // guards what follows
-	answered time.Time  // when a target last answered
-	failed   map[string]struct{}
-	cutOff   bool
-	lost     chan struct{} // closed when the instance is found cut off
+	mu               sync.Mutex          // guards the fields below
+	answered         time.Time           // when a target last answered
+	unreachedTargets map[string]struct{} // targets that calls failed to reach since then
+	cutOff           bool
+	lost             chan struct{} // closed when the instance is found to be cut off
 }
 
-// New returns a controller that takes the instance for connected.
+// New returns a controller that initially regards the instance as connected.
 func New(opts Options) *Controller {
 	opts = opts.withDefaults()
 	return &Controller{
-		opts: opts, answered: opts.Clock.Now(), failed: make(map[string]struct{}), lost: make(chan struct{}),
+		opts: opts, answered: opts.Clock.Now(), unreachedTargets: make(map[string]struct{}), lost: make(chan struct{}),
 	}
 }
 
-// Run checks until ctx ends.
+// Run calls Step every Options.Period until ctx ends.
 func (c *Controller) Run(ctx context.Context) {
 	ticker := c.opts.Clock.NewTicker(c.opts.Period)
 	defer ticker.Stop()
@@ -91,49 +93,50 @@
 	}
 }
 
-// Lost returns a channel that is closed when the instance is found cut off.
-// Take a new one for each request.
+// Lost returns a channel that is closed when the instance is found to be cut off.
+// Callers must call Lost anew for each request, since the channel is replaced when a
+// target answers again.
 func (c *Controller) Lost() <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.lost
 }
 
-// Observe takes in the end of a call to a target.
+// Observe records the result of a call to a target.
 func (c *Controller) Observe(target string, err error) {
-	switch verdictOf(err) {
+	switch reachabilityOf(err) {
 	case reached:
-		c.reached()
+		c.targetAnswered()
 	case unreached:
 		c.mu.Lock()
-		c.failed[target] = struct{}{}
+		c.unreachedTargets[target] = struct{}{}
 		c.mu.Unlock()
 	}
 }
 
-func (c *Controller) reached() {
+func (c *Controller) targetAnswered() {
 	c.mu.Lock()
 	c.answered = c.opts.Clock.Now()
-	clear(c.failed)
-	back := c.cutOff
+	clear(c.unreachedTargets)
+	wasCutOff := c.cutOff
 	c.mu.Unlock()
-	if back {
+	if wasCutOff {
 		c.Step()
 	}
 }
 
-// verdict is what the end of a call says about the way to the target.
-type verdict int
+// reachability is what the result of a call says about the reachability of its target.
+type reachability int
 
 const (
-	unsure verdict = iota
+	unknown reachability = iota
 	reached
 	unreached
 )
 
-// verdictOf reads a call's error. A connection that broke, or a call that we
-// ended, says nothing: the target may have died or lived.
-func verdictOf(err error) verdict {
+// reachabilityOf classifies a call's error. A connection that broke, or a call that this
+// instance cancelled, does not tell whether the target is reachable.
+func reachabilityOf(err error) reachability {
 	if err == nil {
 		return reached
 	}
@@ -143,19 +146,20 @@
 	case stagecall.ClassRefused, stagecall.ClassFailed, stagecall.ClassBadInput, stagecall.ClassProtocol:
 		return reached
 	default:
-		return unsure
+		return unknown
 	}
 }
 
-// Step decides from what was observed.
+// Step decides from the observed calls whether the instance is cut off, and
+// publishes a change.
 func (c *Controller) Step() {
 	targets := c.opts.Board.Targets.Len()
 	c.mu.Lock()
 	silent := c.opts.Clock.Now().Sub(c.answered) >= c.opts.Window
-	cutOff := targets > 0 && silent && len(c.failed) >= min(c.opts.MinTargets, targets)
+	cutOff := targets > 0 && silent && len(c.unreachedTargets) >= min(c.opts.MinTargets, targets)
 	changed := cutOff != c.cutOff
 	c.cutOff = cutOff
-	tried := len(c.failed)
+	tried := len(c.unreachedTargets)
 	if changed && cutOff {
 		close(c.lost)
 	}
--- a/internal/control/reach/reach_test.go
+++ b/internal/control/reach/reach_test.go
@@ -35,10 +35,10 @@
 	return self.CutOff
 }
 
-// Symptom: requests at an instance that was cut off from every target waited
-// out their deadlines. Events: three targets were tried in vain and none
-// answered for the window. Cause: only the fence of the configuration, some
-// seconds later, took the instance out of service.
+// Guards against requests that wait until their deadlines at an instance that is cut
+// off from every target: calls failed to reach three targets and none answered
+// within the window, but only the age limit of the configuration, some seconds
+// later, took the instance out of service.
 func TestInstanceThatReachesNoTargetIsCutOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, b := newController(10)
@@ -57,7 +57,7 @@
 		select {
 		case <-lost:
 		default:
-			t.Fatal("requests in flight were not told")
+			t.Fatal("requests in progress were not notified")
 		}
 		c.Observe("t7", errRefused) // a refusal is an answer
 		if cutOff(b) {
@@ -65,23 +65,23 @@
 		}
 		select {
 		case <-c.Lost():
-			t.Fatal("new requests are told of the old cut")
+			t.Fatal("new requests are notified of the previous loss")
 		default:
 		}
 	})
 }
 
-func TestWhatIsNoSignOfACut(t *testing.T) {
+func TestInsufficientEvidenceDoesNotCutOff(t *testing.T) {
 	for name, observe := range map[string]func(c *Controller){
 		"two targets": func(c *Controller) {
 			c.Observe("t1", errConnect)
 			c.Observe("t2", errConnect)
 			c.Observe("t2", errSilent)
 		},
-		"broken connections":  func(c *Controller) { each(c, 5, errBroken) },
-		"an answer among":     func(c *Controller) { each(c, 5, errConnect); c.Observe("t6", nil); c.Observe("t1", errConnect) },
+		"broken connections":  func(c *Controller) { observeEach(c, 5, errBroken) },
+		"an answer among":     func(c *Controller) { observeEach(c, 5, errConnect); c.Observe("t6", nil); c.Observe("t1", errConnect) },
 		"nothing was tried":   func(*Controller) {},
-		"a target that fails": func(c *Controller) { each(c, 5, &stagecall.Failure{Class: stagecall.ClassFailed}) },
+		"a target that fails": func(c *Controller) { observeEach(c, 5, &stagecall.Failure{Class: stagecall.ClassFailed}) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -97,8 +97,7 @@
 	}
 }
 
-// One of few targets is all there is: a fleet of one target that is silent
-// means the same as many.
+// With fewer targets than MinTargets, failing to reach all of them is enough.
 func TestFewTargets(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, b := newController(1)
@@ -111,7 +110,7 @@
 	})
 }
 
-func each(c *Controller, n int, err error) {
+func observeEach(c *Controller, n int, err error) {
 	for i := range n {
 		c.Observe(fmt.Sprintf("t%d", i), err)
 	}
