--- a/internal/control/drain/drain.go
+++ b/internal/control/drain/drain.go
@@ -1,6 +1,7 @@
-// Package drain keeps operators' orders that an instance, a place or a target
-// takes no new work. They are objects of the platform ("drains/SUBJECT") and
-// so outlast restarts; profile sync keeps the board's copy of them.
+// Package drain manages drains: operators' orders that an instance, an availability
+// zone or a target takes no new work. Drains are objects in the platform's store
+// ("drains/SUBJECT") and therefore survive restarts; package profilesync maintains
+// the board's copy of them.
 package drain
 
 import (
@@ -18,21 +19,22 @@
 	"lynxhill.example/lynxhill/internal/store"
 )
 
-// KeyPrefix is where drains are kept in the store; the subject follows.
+// KeyPrefix is the prefix of the keys of drains in the store; the subject follows.
 const KeyPrefix = "drains/"
 
 const (
-	// period is how often the board is brought in line without a change.
+	// period is the time between two reconciliations of the board when no object
+	// changes.
 	period = 30 * time.Second
-	// settle is the least time between two looks at the objects, so that many
-	// changes at once cause one.
+	// settle is the shortest time between two reconciliations, so that many
+	// simultaneous changes cause one.
 	settle = 100 * time.Millisecond
-	jitter = 0.25
+	jitter = 0.25 // share by which period varies
 )
 
 var metricActive = metrics.Define("drains_active", "drains", "Drains in force.")
 
-// Store is what the controller needs of the platform.
+// Store is the part of the platform's store that the controller uses.
 type Store interface {
 	store.Reader
 	store.Writer
@@ -50,9 +52,9 @@
 	Place   string
 }
 
-// Controller keeps board.Drains and the Draining mark of board.Self by the
-// board's copy of the platform's objects. While the platform is down, the
-// drains known stay in force.
+// Controller derives board.Drains and the Draining field of board.Self from the
+// board's copy of the store's objects. While the store is unavailable, the known
+// drains stay in force.
 type Controller struct {
 	opts Options
 	rand *loop.Rand
@@ -63,7 +65,7 @@
 	return &Controller{opts: opts, rand: loop.NewRand(opts.Rand)}
 }
 
-// Run keeps the board until ctx ends.
+// Run reconciles the board until ctx ends.
 func (c *Controller) Run(ctx context.Context) {
 	loop.Run(ctx, loop.Options{
 		Clock: c.opts.Clock, Rand: c.rand, Period: period, Jitter: jitter,
@@ -71,7 +73,7 @@
 	}, func(context.Context) { c.Step() })
 }
 
-// Step brings the board in line once.
+// Step reconciles the board with the objects once.
 func (c *Controller) Step() {
 	active := c.active()
 	for subject := range c.opts.Board.Drains.Snapshot() {
@@ -105,14 +107,14 @@
 		if err := json.Unmarshal(object.Value, &d); err != nil {
 			c.opts.Logger.Log(event.DrainInvalid, "subject", subject)
 		}
-		// An object that can't be read still drains: who wrote it meant to.
+		// An object that cannot be decoded still drains, since its writer meant to.
 		d.Subject, d.Version = subject, object.Version
 		active[subject] = d
 	}
 	return active
 }
 
-// markSelf sets the Draining mark of this instance.
+// markSelf sets the Draining field of this instance's row.
 func (c *Controller) markSelf() {
 	b := c.opts.Board
 	draining := b.Drained(board.DrainInstance+c.opts.Self) || b.Drained(board.DrainPlace+c.opts.Place)
--- a/internal/control/drain/drain_test.go
+++ b/internal/control/drain/drain_test.go
@@ -17,25 +17,26 @@
 	"lynxhill.example/lynxhill/internal/store/memstore"
 )
 
-type node struct {
-	board *board.Board
-	drain *Controller
-	stop  context.CancelFunc
-	work  *sync.WaitGroup
+type testInstance struct {
+	board      *board.Board
+	controller *Controller
+	stop       context.CancelFunc
+	running    *sync.WaitGroup
 }
 
-func start(s *memstore.Store) *node {
+func start(s *memstore.Store) *testInstance {
 	b := board.New()
 	ctx, cancel := context.WithCancel(context.Background())
-	node := &node{board: b, stop: cancel, work: &sync.WaitGroup{}, drain: New(Options{
+	n := &testInstance{board: b, stop: cancel, running: &sync.WaitGroup{}, controller: New(Options{
 		Store: s, Board: b, Clock: quartz.NewReal(), Rand: rand.New(rand.NewPCG(1, 1)), Self: "i-0", Place: "lac-a",
 	})}
-	node.work.Go(func() { syncObjects(ctx, s, b) })
-	node.work.Go(func() { node.drain.Run(ctx) })
-	return node
+	n.running.Go(func() { syncObjects(ctx, s, b) })
+	n.running.Go(func() { n.controller.Run(ctx) })
+	return n
 }
 
-// syncObjects stands for profile sync: it keeps the board's copy.
+// syncObjects stands in for package profilesync: it maintains the board's copy of the
+// store's objects.
 func syncObjects(ctx context.Context, s *memstore.Store, b *board.Board) {
 	after := uint64(0)
 	for ctx.Err() == nil {
@@ -53,28 +54,28 @@
 	}
 }
 
-func (n *node) finish() {
+func (n *testInstance) finish() {
 	n.stop()
-	n.work.Wait()
+	n.running.Wait()
 }
 
-func (n *node) draining() bool {
+func (n *testInstance) draining() bool {
 	self, _ := n.board.Self.Get(board.SelfRow)
 	return self.Draining
 }
 
-// Symptom: a drained instance takes callers again after its restart.
-// Events: an operator drains it; its process is replaced while the platform
-// is up. Cause: the order was kept only in memory.
+// Guards against a drained instance that takes requests again after its restart: its
+// process is replaced while the platform is available, and the drain was kept only
+// in memory.
 func TestDrainOutlastsRestart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := memstore.New(memstore.Options{})
 		n := start(s)
-		if err := n.drain.Drain(t.Context(), "instance/i-0", "amal"); err != nil {
+		if err := n.controller.Drain(t.Context(), "instance/i-0", "amal"); err != nil {
 			t.Fatal(err)
 		}
 		if !n.draining() {
-			t.Fatal("not draining directly after the order")
+			t.Fatal("not draining directly after the call of Drain")
 		}
 		n.finish()
 		n = start(s)
@@ -82,15 +83,15 @@
 		if !n.draining() {
 			t.Fatal("not draining after the restart")
 		}
-		if list := n.drain.List(); len(list) != 1 || list[0].By != "amal" {
+		if list := n.controller.List(); len(list) != 1 || list[0].By != "amal" {
 			t.Errorf("list %+v, want the drain of amal", list)
 		}
-		if err := n.drain.Undrain(t.Context(), "instance/i-0"); err != nil {
+		if err := n.controller.Undrain(t.Context(), "instance/i-0"); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(time.Second)
 		if n.draining() {
-			t.Error("still draining after the drain was taken back")
+			t.Error("still draining after the drain was removed")
 		}
 		n.finish()
 	})
@@ -102,32 +103,31 @@
 		n := start(s)
 		defer n.finish()
 		s.SetFaults(memstore.Faults{LoseReply: 1})
-		if err := n.drain.Drain(t.Context(), "place/lac-a", "amal"); err != nil {
-			t.Fatalf("an order whose reply was lost: %v", err)
+		if err := n.controller.Drain(t.Context(), "place/lac-a", "amal"); err != nil {
+			t.Fatalf("drain whose reply was lost: %v", err)
 		}
 		s.SetFaults(memstore.Faults{Outage: true})
 		time.Sleep(time.Hour)
 		if !n.draining() {
-			t.Error("the drain went with the platform")
+			t.Error("the drain is not in force during an outage of the store")
 		}
-		if err := n.drain.Undrain(t.Context(), "place/lac-a"); !errkind.Is(err, errkind.StoreUnavailable) {
-			t.Errorf("taking back without the platform: %v", err)
+		if err := n.controller.Undrain(t.Context(), "place/lac-a"); !errkind.Is(err, errkind.StoreUnavailable) {
+			t.Errorf("removing the drain during an outage of the store: %v", err)
 		}
 		s.SetFaults(memstore.Faults{LoseReply: 1})
-		if err := n.drain.Undrain(t.Context(), "place/lac-a"); err != nil {
-			t.Errorf("taking back with lost replies: %v", err)
+		if err := n.controller.Undrain(t.Context(), "place/lac-a"); err != nil {
+			t.Errorf("removing the drain with lost replies: %v", err)
 		}
 		s.SetFaults(memstore.Faults{})
 		time.Sleep(time.Minute)
 		if n.draining() {
-			t.Error("still draining after the drain was taken back")
+			t.Error("still draining after the drain was removed")
 		}
 	})
 }
 
-// Symptom: a place that an operator drained takes callers.
-// Events: another program writes the drain in a form that cannot be read.
-// Cause: the object was skipped.
+// Guards against a drained zone that takes requests: another program wrote the drain
+// in a form that cannot be decoded, and the object was skipped.
 func TestUnreadableDrainIsInForce(t *testing.T) {
 	b := board.New()
 	b.Objects.Put(KeyPrefix+"place/lac-a", board.ConfigObject{Version: 3, Value: []byte("yes")})
@@ -148,9 +148,8 @@
 	}
 }
 
-// Symptom: an operator's drain is answered with an error although it is in force.
-// Events: two operators drain the same place at the same moment.
-// Cause: the loser of the race was told of the conflict.
+// Guards against an error for a drain that is in force: two operators drain the same
+// zone concurrently, and the one whose write conflicts gets the conflict as an error.
 func TestRacingOrdersBothSucceed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := memstore.New(memstore.Options{})
--- a/internal/control/drain/operator.go
+++ b/internal/control/drain/operator.go
@@ -12,10 +12,11 @@
 	"lynxhill.example/lynxhill/internal/store"
 )
 
-// writeRetries is how often a lost race or reply is tried again.
+// writeRetries is the number of attempts of a change whose write conflicts or whose
+// reply is lost.
 const writeRetries = 3
 
-// List returns the drains in force by subject.
+// List returns the drains in force, ordered by subject.
 func (c *Controller) List() []board.Drain {
 	var list []board.Drain
 	for _, d := range c.active() {
@@ -25,9 +26,10 @@
 	return list
 }
 
-// Drain orders that the subject take no new work. It returns when the platform
-// has the order; it is in force here at once and everywhere within seconds.
-// Errors: BadRequest, Conflict, ChangeUnknown, StoreUnavailable.
+// Drain orders that the subject take no new work. It returns once the platform's
+// store holds the drain, which is then in force on this instance at once and on all
+// others within seconds. Errors: BadRequest, Conflict, ChangeUnknown,
+// StoreUnavailable.
 func (c *Controller) Drain(ctx context.Context, subject, operator string) error {
 	if err := validate(subject); err != nil {
 		return err
@@ -39,8 +41,8 @@
 	return c.retry(ctx, func(ctx context.Context) error { return c.put(ctx, KeyPrefix+subject, value) })
 }
 
-// Undrain takes a drain back. Taking back one that is not there succeeds.
-// Errors are those of Drain.
+// Undrain removes a drain. It is idempotent: removing a drain that does not exist
+// succeeds. Errors are those of Drain.
 func (c *Controller) Undrain(ctx context.Context, subject string) error {
 	if err := validate(subject); err != nil {
 		return err
@@ -54,12 +56,12 @@
 			return nil
 		}
 	}
-	return errkind.New(errkind.BadRequest, "%q is not instance/ID, place/NAME, target/ID or targets-in/PLACE", subject)
+	return errkind.New(errkind.BadRequest, "invalid subject %q: want instance/ID, place/NAME, target/ID or targets-in/PLACE", subject)
 }
 
-// retry brings the object to the wanted state. The state wanted is all that the
-// operator says, so that a lost race or reply is simply tried again: the next
-// try finds what became of it.
+// retry runs change until it succeeds, at most writeRetries times. Changes set a
+// desired state and are idempotent, so they can be retried after a conflict or a
+// lost reply: the next attempt reads the current state first.
 func (c *Controller) retry(ctx context.Context, change func(context.Context) error) error {
 	ctx = store.WithPriority(ctx, store.PriorityOperator)
 	var err error
@@ -72,7 +74,7 @@
 	return writeError(err)
 }
 
-// put writes the object unless there is one already.
+// put creates the object unless it exists already.
 func (c *Controller) put(ctx context.Context, key string, value []byte) error {
 	current, err := c.opts.Store.Get(ctx, key)
 	if errors.Is(err, store.ErrNotFound) {
@@ -85,8 +87,8 @@
 	return nil
 }
 
-// remove deletes the object if there is one. Its deletion reaches the board
-// from the platform, which alone knows its version.
+// remove deletes the object if it exists. The deletion reaches the board through the
+// platform's store, since only the store knows the version of the deletion.
 func (c *Controller) remove(ctx context.Context, key string) error {
 	current, err := c.opts.Store.Get(ctx, key)
 	if errors.Is(err, store.ErrNotFound) {
