--- a/internal/control/routesync/evacuations_test.go
+++ b/internal/control/routesync/evacuations_test.go
@@ -126,8 +126,9 @@
 	})
 }
 
-// TestRandomOrdersConverge checks that three instances converge which lose and regain
-// the store and exchange digests at random while orders are written and deleted.
+// TestRandomOrdersConverge checks that three instances converge after losing and
+// regaining the store and exchanging digests at random while orders are written and
+// deleted.
 func TestRandomOrdersConverge(t *testing.T) {
 	for seed := range uint64(20) {
 		withOrders(t, func(w *world) {
--- a/internal/control/routesync/routesync_test.go
+++ b/internal/control/routesync/routesync_test.go
@@ -280,9 +280,10 @@
 }
 
 // Guards against thousands of calls to the platform per second, a flooded log, and dead
-// targets that are kept forever, when the store answers every watch at once without
-// use: pauses must not follow failed calls only, not every failure may be logged, and
-// not every failure may defer the removal of targets.
+// targets that are kept forever, when the store answers every watch at once with an
+// error or without a change: every such call must be followed by a pause, the log
+// entries must be bounded, and repeated failures must not defer the removal of targets
+// indefinitely.
 func TestFaultyStoreIsCalledInMeasure(t *testing.T) {
 	type reply func(after uint64) ([]store.Object, uint64, bool, error)
 	table := []struct {
@@ -344,8 +345,8 @@
 	})
 }
 
-// TestRandomHistoriesConverge checks that three instances converge which lose and
-// regain the store and exchange digests at random while the store's objects change.
+// TestRandomHistoriesConverge checks that three instances converge after losing and
+// regaining the store and exchanging digests at random while the store's objects change.
 func TestRandomHistoriesConverge(t *testing.T) {
 	for seed := range uint64(20) {
 		inWorld(t, func(w *world) {
