--- a/internal/stagecall/memtarget/call.go
+++ b/internal/stagecall/memtarget/call.go
@@ -9,11 +9,11 @@
 	"lynxhill.example/lynxhill/internal/wire/targetapi"
 )
 
-// call is one call under way.
+// call is one call in progress.
 type call struct {
 	fleet   *Fleet
 	run     *Run
-	host    *host
+	process *process
 	plan    Plan
 	ctx     context.Context
 	opts    stagecall.Options
@@ -29,12 +29,12 @@
 func (c *call) serve() (stagecall.Result, error) {
 	switch c.plan.Fault {
 	case Silent:
-		return stagecall.Result{}, c.silent()
+		return stagecall.Result{}, c.waitSilently()
 	case Die:
-		if err := c.pause(c.service()/2, c.opts.FirstByte); err != nil {
+		if err := c.wait(c.service()/2, c.opts.FirstByte); err != nil {
 			return stagecall.Result{}, err
 		}
-		c.fleet.kill(c.host)
+		c.fleet.crash(c.process)
 		return stagecall.Result{}, errBroken
 	}
 	if c.req.Stream {
@@ -43,13 +43,14 @@
 	return c.reply()
 }
 
-// silent waits for the first-byte timeout.
-func (c *call) silent() error {
+// waitSilently waits until the first-byte timeout, or until the caller cancels
+// if there is none.
+func (c *call) waitSilently() error {
 	if c.opts.FirstByte <= 0 {
 		<-c.ctx.Done()
 		return c.cancelled()
 	}
-	if err := c.pause(c.opts.FirstByte, 0); err != nil {
+	if err := c.wait(c.opts.FirstByte, 0); err != nil {
 		return err
 	}
 	return errSilent
@@ -63,17 +64,18 @@
 	if c.plan.Fault != Straggle {
 		return service
 	}
-	slow := c.plan.Slow
-	if slow <= 0 {
-		slow = defaultSlow
+	slowdown := c.plan.Slow
+	if slowdown <= 0 {
+		slowdown = defaultSlowdown
 	}
-	return time.Duration(float64(service) * slow)
+	return time.Duration(float64(service) * slowdown)
 }
 
-// pause lets time pass; limit is the caller's timeout for this wait, 0 = none.
-func (c *call) pause(d, limit time.Duration) error {
-	silent := limit > 0 && d > limit
-	if silent {
+// wait waits for d of virtual time. limit is the caller's timeout for this
+// wait; 0 means none.
+func (c *call) wait(d, limit time.Duration) error {
+	timesOut := limit > 0 && d > limit
+	if timesOut {
 		d = limit
 	}
 	timer := c.fleet.opts.Clock.NewTimer(d)
@@ -81,11 +83,11 @@
 	select {
 	case <-c.ctx.Done():
 		return c.cancelled()
-	case <-c.fleet.diedOf(c.host):
+	case <-c.fleet.crashOf(c.process):
 		return errBroken
 	case <-timer.C:
 	}
-	if silent {
+	if timesOut {
 		return errSilent
 	}
 	return nil
@@ -96,21 +98,21 @@
 }
 
 func (c *call) reply() (stagecall.Result, error) {
-	if err := c.pause(c.service(), c.opts.FirstByte); err != nil {
+	if err := c.wait(c.service(), c.opts.FirstByte); err != nil {
 		return stagecall.Result{}, err
 	}
 	switch c.plan.Fault {
 	case Break, LostReply, NoEnd, Truncated:
 		return stagecall.Result{}, errBroken
 	case Fail:
-		return stagecall.Result{}, failed()
+		return stagecall.Result{}, failureReply()
 	case WrongIDs, Gap:
 		return stagecall.Result{}, &stagecall.Failure{Class: stagecall.ClassProtocol, Err: errors.New("ids of another attempt")}
 	}
 	return stagecall.Result{Output: Output(c.req), Cost: 1, Service: c.service()}, nil
 }
 
-func failed() error {
+func failureReply() error {
 	return &stagecall.Failure{Class: stagecall.ClassFailed, Code: targetapi.CodeFailed, Err: errors.New("failed")}
 }
 
@@ -120,7 +122,7 @@
 	size := max(1, len(text)/c.fleet.opts.Frames)
 	limit := c.opts.FirstByte
 	for sent := 0; offset < len(text); {
-		if err := c.pause(c.service()/time.Duration(c.fleet.opts.Frames), limit); err != nil {
+		if err := c.wait(c.service()/time.Duration(c.fleet.opts.Frames), limit); err != nil {
 			return stagecall.Result{}, err
 		}
 		limit = c.opts.Progress
@@ -130,12 +132,12 @@
 			}
 			return stagecall.Result{Length: len(text), Tokens: 1, Cost: 1}, nil
 		}
-		piece := text[offset:min(offset+size, len(text))]
-		if err := c.onFrame(c.frame(offset, piece, sent)); err != nil {
+		chunk := text[offset:min(offset+size, len(text))]
+		if err := c.onFrame(c.frame(offset, chunk, sent)); err != nil {
 			return stagecall.Result{}, err
 		}
-		offset += len(piece)
-		sent += len(piece)
+		offset += len(chunk)
+		sent += len(chunk)
 	}
 	if c.plan.Fault == NoEnd {
 		return stagecall.Result{}, errBroken
@@ -143,8 +145,8 @@
 	return stagecall.Result{Length: offset, Tokens: c.fleet.opts.Frames, Cost: 1, Service: c.service()}, nil
 }
 
-// faultAt says whether the stream stops here; a nil error with stop is an end
-// mark before the last frame.
+// faultAt reports whether the stream stops at this position. A nil error with
+// stop set means that the end marker is sent before the last frame.
 func (c *call) faultAt(sent int) (err error, stop bool) {
 	switch c.plan.Fault {
 	case LostReply:
@@ -154,17 +156,17 @@
 	case Truncated:
 		return nil, sent >= c.plan.AfterBytes
 	case Fail:
-		return failed(), sent >= c.plan.AfterBytes
+		return failureReply(), sent >= c.plan.AfterBytes
 	}
 	return nil, false
 }
 
-func (c *call) frame(offset int, piece string, sent int) targetapi.Frame {
+func (c *call) frame(offset int, chunk string, sent int) targetapi.Frame {
 	frame := targetapi.Frame{
 		RequestID: c.req.RequestID,
 		AttemptID: c.req.AttemptID,
 		Offset:    offset,
-		Text:      piece,
+		Text:      chunk,
 		Tokens:    1,
 	}
 	if c.plan.Fault == WrongIDs && sent >= c.plan.AfterBytes {
@@ -172,7 +174,7 @@
 		frame.Text = "stray"
 	}
 	if c.plan.Fault == Gap && sent >= c.plan.AfterBytes {
-		frame.Offset += len(piece)
+		frame.Offset += len(chunk)
 	}
 	return frame
 }
--- a/internal/stagecall/memtarget/fault.go
+++ b/internal/stagecall/memtarget/fault.go
@@ -2,37 +2,39 @@
 
 import "time"
 
-// Fault is what goes wrong with one call.
+// Fault is the fault injected into one call.
 type Fault int
 
 // Faults.
 const (
 	None Fault = iota
-	// ConnectFail: no connection is made; nothing runs.
+	// ConnectFail: the connection cannot be established; nothing runs.
 	ConnectFail
-	// Refuse: the target answers that it runs nothing.
+	// Refuse: the target replies that it runs nothing.
 	Refuse
-	// Silent: the call is sent and nothing comes back. A target may run it.
+	// Silent: the request is sent and no response arrives. The target may run
+	// it.
 	Silent
-	// Break: the connection breaks after Plan.AfterBytes of the answer.
+	// Break: the connection breaks after Plan.AfterBytes of the response.
 	Break
-	// WrongIDs: the first frame carries the ids of another attempt.
+	// WrongIDs: frames from Plan.AfterBytes on carry the IDs of another
+	// attempt.
 	WrongIDs
-	// Gap: a frame skips bytes.
+	// Gap: a frame skips some bytes of the response.
 	Gap
-	// Truncated: frames are missing before the end mark, which gives the length
-	// of the whole answer.
+	// Truncated: frames are missing before the end marker, which states the
+	// length of the complete response.
 	Truncated
-	// NoEnd: all frames come, the end mark does not.
+	// NoEnd: all frames arrive, but the end marker does not.
 	NoEnd
 	// Straggle: the call takes Plan.Slow times as long.
 	Straggle
-	// LostReply: the target runs the whole call and the connection breaks
-	// before any of the answer.
+	// LostReply: the target runs the whole call, and the connection breaks
+	// before any part of the response arrives.
 	LostReply
-	// Fail: the target runs and answers that it failed.
+	// Fail: the target runs the request and replies that it failed.
 	Fail
-	// Die: the target's process ends; all calls on it break.
+	// Die: the target's process crashes; all its calls in progress break.
 	Die
 	faultCount
 )
@@ -42,7 +44,6 @@
 	"truncated", "no_end", "straggle", "lost_reply", "fail", "die",
 }
 
-// String returns the fault's name.
 func (f Fault) String() string {
 	if f >= 0 && f < faultCount {
 		return faultNames[f]
@@ -50,7 +51,7 @@
 	return "unknown"
 }
 
-// Faults returns every fault.
+// Faults returns all faults, None included.
 func Faults() []Fault {
 	all := make([]Fault, faultCount)
 	for i := range all {
@@ -59,14 +60,14 @@
 	return all
 }
 
-// Plan is what happens to one call.
+// Plan describes how one call proceeds.
 type Plan struct {
 	Fault      Fault
-	AfterBytes int     // for Break and Truncated: bytes of this call's answer that come before
-	Slow       float64 // for Straggle; 0 = 20
+	AfterBytes int     // for faults within the response: bytes of this call's response that are sent before the fault
+	Slow       float64 // for Straggle: factor of the service time; 0 = 20
 	Code       string  // for Refuse; "" = busy
-	// OldConnection limits Silent to calls that may use a kept connection, as
-	// when something between the two ends has lost track of it.
+	// OldConnection restricts Silent to calls that may use a pooled connection,
+	// as when a middlebox has dropped the connection's state.
 	OldConnection bool
-	Service       time.Duration // service time of the whole call; 0 = the fleet's
+	Service       time.Duration // service time of the whole call; 0 = Options.Service
 }
--- a/internal/stagecall/memtarget/memtarget.go
+++ b/internal/stagecall/memtarget/memtarget.go
@@ -1,5 +1,5 @@
-// Package memtarget is an in-memory stagecall.Caller for tests in virtual
-// time: a fleet of targets that answer predictably, fail as planned, and
+// Package memtarget is an in-memory stagecall.Caller for tests in virtual time:
+// a fleet of targets that respond deterministically, fail as planned, and
 // record every run.
 package memtarget
 
@@ -19,59 +19,60 @@
 
 // Defaults of Options.
 const (
-	defaultService = 20 * time.Millisecond
-	defaultFrames  = 8
-	defaultSlow    = 20
-	restartMemory  = time.Second
+	defaultService  = 20 * time.Millisecond
+	defaultFrames   = 8
+	defaultSlowdown = 20
+	recentCrash     = time.Second
 )
 
-// Options of a Fleet.
+// Options configure a Fleet.
 type Options struct {
 	Clock clock.Clock
-	// Plan decides the fate of each call; nil plans no fault. It is called
-	// from many goroutines, under the fleet's lock.
+	// Plan returns the plan of each call; nil plans no faults. It is called
+	// from many goroutines, with the fleet's lock held.
 	Plan func(target stagecall.Target, req targetapi.RunRequest) Plan
-	// Marker in an input crashes the target that runs it; "" for none.
+	// Marker is a byte sequence that crashes the target that runs an input with
+	// it; "" = none.
 	Marker string
-	// RestartAfter is how long a dead target stays away; 0 = for good.
+	// RestartAfter is how long a crashed target is down; 0 = it never restarts.
 	RestartAfter time.Duration
 	Service      time.Duration
-	Frames       int // frames of a whole stream
+	Frames       int // number of frames of a complete stream
 }
 
-// Run is the record of one call that reached a target.
+// Run records one call that reached a target.
 type Run struct {
 	Target    string
 	Request   targetapi.RunRequest
 	Fault     Fault
 	Started   time.Time
-	Finished  bool // the target ran it to its end
-	Cancelled bool // the caller's context ended first
+	Finished  bool // the target ran the call to completion
+	Cancelled bool // the caller's context ended before the call did
 }
 
-// Fleet is a set of targets. Any target id may be called; a target exists from
-// its first call on.
+// Fleet is a set of targets. Any target ID may be called; a target is created
+// by its first call.
 type Fleet struct {
 	opts Options
 
-	mu    sync.Mutex // guards runs, calls and hosts
-	runs  []*Run
-	calls int
-	hosts map[string]*host
+	mu        sync.Mutex // guards runs, calls and hosts
+	runs      []*Run
+	calls     int
+	processes map[string]*process
 }
 
-// host is the process behind a target.
-type host struct {
-	deaths   int
-	diedAt   time.Time
-	deadTill time.Time
-	gone     bool
-	died     chan struct{} // closed when the present process dies
+// process is the server process of a target.
+type process struct {
+	crashes       int
+	crashedAt     time.Time
+	downUntil     time.Time
+	neverRestarts bool
+	crashed       chan struct{} // closed when the current process crashes
 }
 
 var _ stagecall.Caller = (*Fleet)(nil)
 
-// New returns a fleet.
+// New returns a fleet without targets.
 func New(opts Options) *Fleet {
 	if opts.Service <= 0 {
 		opts.Service = defaultService
@@ -79,10 +80,10 @@
 	if opts.Frames <= 0 {
 		opts.Frames = defaultFrames
 	}
-	return &Fleet{opts: opts, hosts: make(map[string]*host)}
+	return &Fleet{opts: opts, processes: make(map[string]*process)}
 }
 
-// Runs returns a copy of the records.
+// Runs returns a copy of all recorded runs.
 func (f *Fleet) Runs() []Run {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -93,42 +94,42 @@
 	return runs
 }
 
-// Calls returns the number of calls, also of those that reached no target.
+// Calls returns the number of calls, including those that reached no target.
 func (f *Fleet) Calls() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.calls
 }
 
-// Deaths returns how often the target died.
+// Deaths returns how often the target crashed.
 func (f *Fleet) Deaths(id string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if h := f.hosts[id]; h != nil {
-		return h.deaths
+	if h := f.processes[id]; h != nil {
+		return h.crashes
 	}
 	return 0
 }
 
-// Alive reports whether the target is up and has not died within the last
-// second, as crashguard asks it.
+// Alive reports whether the target is up and has not crashed within the last
+// second. It serves as crashguard's liveness check.
 func (f *Fleet) Alive(_ context.Context, target stagecall.Target) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	h := f.hosts[target.ID]
-	if h == nil || h.deaths == 0 {
+	h := f.processes[target.ID]
+	if h == nil || h.crashes == 0 {
 		return true
 	}
-	return !h.gone && f.opts.Clock.Since(h.diedAt) > restartMemory
+	return !h.neverRestarts && f.opts.Clock.Since(h.crashedAt) > recentCrash
 }
 
-// Text is the whole answer to a streamed request. It names what it answers, so
-// that an answer to another request shows.
+// Text returns the complete response to a streamed request. It contains the
+// request's inputs, so that a response to another request is recognised.
 func Text(req targetapi.RunRequest) string {
 	return fmt.Sprintf("<%s of %s after %s: %s>", req.Stage, compact(req.Input), compact(req.Previous), "lorem ipsum dolor sit amet")
 }
 
-// Output is the answer to a request that does not stream.
+// Output returns the response to a request that does not stream.
 func Output(req targetapi.RunRequest) json.RawMessage {
 	data, _ := json.Marshal(Text(req))
 	return data
@@ -141,11 +142,11 @@
 	return string(raw)
 }
 
-// Run implements stagecall.Caller. For WrongIDs and Gap it hands the bad frame
+// Run implements stagecall.Caller. For WrongIDs and Gap it passes the bad frame
 // to onFrame, as a faulty implementation of the interface would, so that the
-// receiver's own checks are tested too.
+// receiver's own checks are tested as well.
 func (f *Fleet) Run(ctx context.Context, target stagecall.Target, req targetapi.RunRequest, opts stagecall.Options, onFrame func(targetapi.Frame) error) (stagecall.Result, error) {
-	plan, h := f.receive(target, req)
+	plan, h := f.admit(target, req)
 	if plan.Fault == ConnectFail || h == nil {
 		return stagecall.Result{}, &stagecall.Failure{Class: stagecall.ClassConnect, NotRun: true, Err: errors.New("connection refused")}
 	}
@@ -159,7 +160,7 @@
 		return stagecall.Result{}, refusal(plan)
 	}
 	run := f.record(target, req, plan)
-	c := &call{fleet: f, run: run, host: h, plan: plan, ctx: ctx, opts: opts, req: req, onFrame: onFrame}
+	c := &call{fleet: f, run: run, process: h, plan: plan, ctx: ctx, opts: opts, req: req, onFrame: onFrame}
 	result, err := c.serve()
 	f.close(run, err)
 	return result, err
@@ -173,18 +174,18 @@
 	return &stagecall.Failure{Class: stagecall.ClassRefused, Code: code, NotRun: true, Err: errors.New("refused")}
 }
 
-// receive returns the plan and the process that takes the call, nil if the
-// target is down.
-func (f *Fleet) receive(target stagecall.Target, req targetapi.RunRequest) (Plan, *host) {
+// admit returns the plan of the call and the process that serves it; the
+// process is nil if the target is down.
+func (f *Fleet) admit(target stagecall.Target, req targetapi.RunRequest) (Plan, *process) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.calls++
-	h := f.hosts[target.ID]
+	h := f.processes[target.ID]
 	if h == nil {
-		h = &host{died: make(chan struct{})}
-		f.hosts[target.ID] = h
+		h = &process{crashed: make(chan struct{})}
+		f.processes[target.ID] = h
 	}
-	if h.gone || f.opts.Clock.Now().Before(h.deadTill) {
+	if h.neverRestarts || f.opts.Clock.Now().Before(h.downUntil) {
 		return Plan{}, nil
 	}
 	plan := Plan{}
@@ -214,22 +215,22 @@
 	run.Cancelled = err != nil && stagecall.FailureOf(err).Class == stagecall.ClassCancelled
 }
 
-// kill ends the process of a target.
-func (f *Fleet) kill(h *host) {
+// crash ends the current process of a target and breaks its calls.
+func (f *Fleet) crash(h *process) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	h.deaths++
-	h.gone = f.opts.RestartAfter <= 0
-	h.diedAt = f.opts.Clock.Now()
-	h.deadTill = h.diedAt.Add(f.opts.RestartAfter)
-	close(h.died)
-	h.died = make(chan struct{})
+	h.crashes++
+	h.neverRestarts = f.opts.RestartAfter <= 0
+	h.crashedAt = f.opts.Clock.Now()
+	h.downUntil = h.crashedAt.Add(f.opts.RestartAfter)
+	close(h.crashed)
+	h.crashed = make(chan struct{})
 }
 
-func (f *Fleet) diedOf(h *host) <-chan struct{} {
+func (f *Fleet) crashOf(h *process) <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return h.died
+	return h.crashed
 }
 
 // Load implements stagecall.Caller.
--- a/internal/stagecall/stagecall.go
+++ b/internal/stagecall/stagecall.go
@@ -1,5 +1,5 @@
 // Package stagecall is the narrow interface through which the pipeline calls
-// targets. internal/target implements it over HTTP; stagecall/memtarget
+// targets. Package internal/target implements it over HTTP; stagecall/memtarget
 // implements it in memory for tests.
 package stagecall
 
@@ -11,27 +11,28 @@
 	"lynxhill.example/lynxhill/internal/wire/targetapi"
 )
 
-// Target is where a call goes.
+// Target identifies the target of a call.
 type Target struct {
 	ID      string
 	Address string // IP:port
 }
 
-// Options govern one call.
+// Options configure one call.
 type Options struct {
-	// FirstByte is the longest wait for the first frame or reply, Progress
-	// the longest wait between frames. 0 leaves only the context's deadline.
+	// FirstByte is the timeout for the first frame or reply; Progress is the
+	// timeout between two frames. With 0, only the context's deadline applies.
 	FirstByte time.Duration
 	Progress  time.Duration
-	// NewConnection forbids the use of a kept connection: a retry after a
-	// silent connection would otherwise meet the same silence.
+	// NewConnection forbids the use of an idle connection from the pool. It is
+	// set for a retry after a call on a pooled connection got no response,
+	// which would otherwise hit the same dead connection.
 	NewConnection bool
 }
 
-// Result closes an attempt.
+// Result is the outcome of a successful attempt.
 type Result struct {
-	Output  []byte // whole answer of a stage that does not stream
-	Length  int    // bytes of the whole answer of one that streams
+	Output  []byte // complete response of a stage that does not stream
+	Length  int    // bytes of the complete response of a stage that streams
 	Tokens  int
 	Cost    float64
 	Service time.Duration // as reported by the target
@@ -40,49 +41,49 @@
 
 // Caller calls targets.
 type Caller interface {
-	// Run makes one attempt. onFrame gets each frame in order, from the
-	// calling goroutine, for a request with Stream set; an error from it ends
-	// the attempt and is returned. Run returns a *Failure for anything that
-	// went wrong with the call itself. It never repeats a call by itself.
-	// Frames and replies with other ids than req's never reach onFrame or
-	// Result. When ctx ends, the target is told to cancel the attempt.
+	// Run makes one attempt. For a request with Stream set, onFrame receives
+	// each frame in order, on the calling goroutine; an error from onFrame ends
+	// the attempt and is returned. Run returns a *Failure for any fault of the
+	// call itself. It never retries. Frames and replies whose IDs differ from
+	// req's never reach onFrame or Result. When ctx ends, Run asks the target
+	// to cancel the attempt.
 	Run(ctx context.Context, target Target, req targetapi.RunRequest, opts Options, onFrame func(targetapi.Frame) error) (Result, error)
-	// Load asks for the target's load report.
+	// Load fetches the target's load report.
 	Load(ctx context.Context, target Target) (targetapi.LoadReport, error)
-	// Order gives an engine an order. A refusal for an old fencing number is
-	// a *Failure with CodeOldFence.
+	// Order sends an order to an engine. A rejection because of an outdated
+	// fencing number is a *Failure with CodeOldFence.
 	Order(ctx context.Context, target Target, order targetapi.Order) error
-	// State reads back the engine's models and role.
+	// State reads the engine's current models and role.
 	State(ctx context.Context, target Target) (targetapi.LoadReport, error)
-	// CacheEvents returns the events after a sequence number.
+	// CacheEvents returns the cache events after a sequence number.
 	CacheEvents(ctx context.Context, target Target, after uint64) ([]targetapi.CacheEvent, error)
 }
 
-// FailureClass says what went wrong with an attempt.
+// FailureClass classifies the fault that ended an attempt.
 type FailureClass int
 
 // Failure classes.
 const (
-	// ClassConnect: no connection could be made; no byte was sent.
+	// ClassConnect: no connection could be established; no byte was sent.
 	ClassConnect FailureClass = iota
-	// ClassRefused: the target answered that it ran nothing.
+	// ClassRefused: the target replied that it ran nothing.
 	ClassRefused
-	// ClassSilent: the connection or the target went silent.
+	// ClassSilent: the connection or the target stopped responding.
 	ClassSilent
 	// ClassBroken: the connection broke after the request was sent.
 	ClassBroken
-	// ClassFailed: the target answered that it failed.
+	// ClassFailed: the target replied that the execution failed.
 	ClassFailed
-	// ClassBadInput: the target finds the input unacceptable.
+	// ClassBadInput: the target rejected the input as invalid.
 	ClassBadInput
-	// ClassProtocol: the reply or a frame was for another attempt, had a gap,
-	// or was malformed. The connection was closed.
+	// ClassProtocol: the reply or a frame belonged to another attempt, had a
+	// gap, or was malformed. The connection was closed.
 	ClassProtocol
 	// ClassCancelled: the context ended.
 	ClassCancelled
 )
 
-// String returns the class's name in logs and metrics.
+// String returns the name of the class in logs and metrics.
 func (c FailureClass) String() string {
 	names := [...]string{"connect", "refused", "silent", "broken", "failed", "bad_input", "protocol", "cancelled"}
 	if int(c) < len(names) {
@@ -91,13 +92,13 @@
 	return "unknown"
 }
 
-// Failure is the error of an attempt.
+// Failure is the error of a failed attempt.
 type Failure struct {
 	Class  FailureClass
-	Code   string // the target's refusal code, if it gave one
-	NotRun bool   // true only if the target cannot have run any of it
-	// Connection says that the connection was lost or silent, which says
-	// nothing of the target.
+	Code   string // refusal code sent by the target, if any
+	NotRun bool   // true only if the target cannot have run any part of the request
+	// Connection reports that the connection was lost or did not respond, which
+	// says nothing about the state of the target.
 	Connection bool
 	Err        error
 }
@@ -117,8 +118,9 @@
 // Unwrap returns the cause.
 func (f *Failure) Unwrap() error { return f.Err }
 
-// FailureOf returns the Failure in err's chain. An error without one counts
-// as broken and possibly run: the cautious reading.
+// FailureOf returns the Failure in err's chain. An error without one is
+// classified as ClassBroken and possibly run, which is the conservative
+// assumption.
 func FailureOf(err error) *Failure {
 	var f *Failure
 	if errors.As(err, &f) {
@@ -127,6 +129,6 @@
 	return &Failure{Class: ClassBroken, Err: err}
 }
 
-// CodeTooLarge is the code of a ClassFailed whose reply exceeded the limit of
-// the caller; a target never sends it.
+// CodeTooLarge is the Code of a ClassFailed failure whose reply exceeded the
+// caller's size limit. A target never sends it.
 const CodeTooLarge = "answer_too_large"
