--- a/internal/relay/codec.go
+++ b/internal/relay/codec.go
@@ -9,150 +9,152 @@
 	"lynxhill.example/lynxhill/internal/route"
 )
 
-// PromptPart is a part of a prompt that requests may share.
+// PromptPart is a part of a prompt that several requests may have in common.
 type PromptPart struct {
 	ID     string
 	Tokens int
 }
 
-// Prompt is what a request for a model engine says about its size.
+// Prompt describes the prompt of a request for a model engine, as stated in the
+// request.
 type Prompt struct {
 	Model     string
 	TokensIn  int
-	TokensOut int // most that may be generated
-	LikelyOut int // the caller's estimate; 0 = none
+	TokensOut int // maximum number of tokens to generate
+	LikelyOut int // caller's estimate of the number of generated tokens; 0 = none
 	Parts     []PromptPart
 }
 
-// Request is a caller's request as the product sees it. Header holds what is
-// passed on to the target unchanged: nothing that concerns one connection, no
-// key, and nothing that the system sets itself.
+// Request is a caller's request, independent of the wire format. Header holds
+// the fields that are forwarded to the target unchanged: no hop-by-hop fields,
+// no API key, and no field that the system sets itself.
 type Request struct {
-	ID        string        // of the caller's attempt
-	Key       string        // "" = none was sent
-	Wait      time.Duration // how long the caller will wait; 0 = it did not say
+	ID        string        // id of the caller's attempt
+	Key       string        // API key; "" = none was sent
+	Wait      time.Duration // the caller's timeout; 0 = not stated
 	Method    string
 	Host      string
-	URI       string // path and query as they were sent
+	URI       string // path and query, byte for byte as sent
 	Path      string
 	Header    http.Header
 	Body      []byte
 	Prompt    *Prompt // nil unless the request names a model
-	Pieces    []int   // of each stage; shorter than the stages = 0 for the rest
+	Pieces    []int   // number of pieces of each stage; missing entries are 0
 	PieceKey  string
-	ResumedAt string // the last event that the caller has; "" = a new stream
+	ResumedAt string // id of the last event that the caller received; "" = a new stream
 }
 
-// Call is what the system adds to a request on its way to one target.
+// Call holds what the system adds to a request when it sends it to a target.
 type Call struct {
 	Target       fleet.Target
-	Left         time.Duration // what is left of the caller's time; 0 = not bounded
+	Left         time.Duration // time left until the caller's deadline; 0 = no deadline
 	Organisation string        // "" = none
-	Inputs       []string      // results that the target fetches; nil = the request has no stages
-	Priority     int           // of the request; negative = not said
-	ResumeAt     string        // go on after this event; "" = from the start or as the caller asked
+	Inputs       []string      // stage results that the target fetches; nil = the request has no stages
+	Priority     int           // of the request; negative = not stated
+	ResumeAt     string        // id of the event to resume after; "" = from the start or as the caller's header says
 }
 
-// Answer is what the head of a target's answer says to the system.
+// Answer holds the fields of a target's response head that the system evaluates.
 type Answer struct {
-	ID     string // of the attempt that it answers; "" = it does not say
-	Signed bool   // it bears the target's signature
-	NotRun bool   // the target says that it has not run the request
-	Load   *Load  // nil = it does not say
+	ID     string // id of the attempt that the response belongs to; "" = not stated
+	Signed bool   // the response carries the target's signature
+	NotRun bool   // the target states that it has not run the request
+	Load   *Load  // nil = not stated
 }
 
-// Load is how busy a target says it is.
+// Load is the load that a target reports.
 type Load struct {
 	Running, Waiting, Slots int
 }
 
-// Codec translates between HTTP messages and the types above. It holds no
-// state.
+// Codec translates between HTTP messages and the types above. It is stateless.
 type Codec interface {
-	// Request reads the head of a caller's request; the body is set by the
-	// ingress. The error says what is malformed.
+	// Request parses the head of a caller's request; the ingress sets the body.
+	// The error describes what is malformed.
 	Request(r *http.Request) (*Request, error)
-	// Outgoing returns the header of the request on its way to a target.
+	// Outgoing returns the header to send to a target with the request.
 	Outgoing(req *Request, call Call) http.Header
-	// Answer reads the head of a target's answer.
+	// Answer parses the head of a target's response.
 	Answer(r *http.Response) Answer
-	// Notice reads what the head of a target's answer asks of those who send it
-	// requests. An answer of another target at the same address says only whose
-	// it is.
+	// Notice parses what the head of a target's response asks of the senders of
+	// requests (leaving, rate limit, pause). From a response of another target at
+	// the same address only that target's identity is taken.
 	Notice(status int, h http.Header) fleet.Notice
-	// AnswerHeader returns the header of a target's answer as its caller gets
-	// it: without what concerns one connection.
+	// AnswerHeader returns the header of a target's response without hop-by-hop
+	// fields, as it is forwarded to the caller.
 	AnswerHeader(h http.Header) http.Header
-	// Own sets the header of an answer that the system gives by itself.
-	// retryAfter is when the caller may come back; negative = not said.
+	// Own sets the header of a response that the system generates itself.
+	// retryAfter is the delay after which the caller may retry; negative = not
+	// stated.
 	Own(h http.Header, req *Request, retryAfter time.Duration)
-	// Addresses answers the question where to connect.
+	// Addresses encodes the response to an address query.
 	Addresses(addresses []string, ttl time.Duration) (contentType string, body []byte)
-	// EventID returns the id of the event in a block of a stream, without the
-	// line that ends it, and whether it has one.
+	// EventID returns the id of the event in a block of a stream, without its
+	// line end, and whether the event has an id.
 	EventID(block []byte) (string, bool)
 }
 
-// Piece is a piece of a stage on its way to a target.
+// Piece is a piece of a stage as it is sent to a target.
 type Piece struct {
-	ID     string // of the caller's attempt
+	ID     string // id of the caller's attempt
 	Stage  int
 	Number int
-	Left   time.Duration // 0 = not bounded
-	Key    string        // of a stage that needs no results
-	Inputs []string      // results of the stages before
+	Left   time.Duration // time left until the deadline; 0 = no deadline
+	Key    string        // set for a stage that needs no results
+	Inputs []string      // results of the preceding stages
 }
 
-// PieceFault says why a piece was not made.
+// PieceFault is the reason why a piece has no result.
 type PieceFault int
 
-// Faults of pieces.
+// The values of PieceFault.
 const (
 	PieceMade  PieceFault = iota
-	PieceLate             // its time had run out at its turn
-	PieceGone             // an input is gone
-	PieceRoom             // no room for the result
-	PieceError            // the target failed it, or the call broke off
+	PieceLate             // the deadline had passed when its turn came
+	PieceGone             // an input no longer exists
+	PieceRoom             // the target has no memory for the result
+	PieceError            // the target failed to process it, or the call broke off
 )
 
-// String returns the fault as it stands in logs.
+// String returns the fault as it is written to logs.
 func (f PieceFault) String() string {
 	return [...]string{"made", "late", "gone", "room", "error"}[f]
 }
 
-// PieceResult is a piece's result, which lies at its maker, or why there is
-// none.
+// PieceResult is the handle of a piece's result, which the target that computed
+// it stores, or the reason why there is no result.
 type PieceResult struct {
 	Handle string
 	Fault  PieceFault
 }
 
-// StageReport is a stage target's own report.
+// StageReport is the state that a stage target reports about itself.
 type StageReport struct {
 	Queued   int
 	Busy     bool
-	FreeRoom int64 // bytes, at most
+	FreeRoom int64 // upper bound of the free memory for results, in bytes
 }
 
 // StageClient calls stage targets.
 type StageClient interface {
-	// Run makes pieces. full says that the target did not take the call; any
-	// other error leaves open whether it worked on it. On success there is one
-	// result for each piece, in order.
+	// Run processes pieces. full reports that the target did not accept the
+	// call; after any other error it is unknown whether the target processed
+	// any of them. On success there is one result for each piece, in order.
 	Run(ctx context.Context, t fleet.Target, pieces []Piece) (results []PieceResult, full bool, err error)
-	// Free gives up results at their maker.
+	// Free releases results at the target that stores them.
 	Free(ctx context.Context, address string, handles []string) error
-	// Report asks a target for its report.
+	// Report queries a target's StageReport.
 	Report(ctx context.Context, t fleet.Target) (StageReport, error)
-	// Kept asks a model engine which prompt parts it keeps, in no order that
-	// means anything. It costs the engine some of its time.
+	// Kept queries which prompt parts a model engine has in its cache, in no
+	// particular order. The query costs the engine some processing time.
 	Kept(ctx context.Context, engine fleet.Target) ([]PromptPart, error)
 }
 
-// Decoder reads the configuration as the platform's store holds it.
+// Decoder decodes the configuration from the format in the platform's store.
 type Decoder interface {
-	// Table reads the declared routes. The table is built.
+	// Table decodes the declared routes. The returned table is built
+	// (route.Table.Build).
 	Table(value []byte) (*route.Table, error)
-	// Target reads an entry of the target list.
+	// Target decodes an entry of the target list.
 	Target(id string, value []byte) (fleet.Target, error)
 }
