--- a/internal/notice/gossip.go
+++ b/internal/notice/gossip.go
@@ -12,25 +12,25 @@
 var _ gossip.Part = (*Keeper)(nil)
 
 const (
-	// onTheWay is added to the age of what another instance tells, beside what is
-	// known of the time that it took: it must not look younger than it is, or it
-	// would live for ever on its own echo.
-	onTheWay = 100 * time.Millisecond
-	// rowBytes is the size of a row in a digest beside the names in it.
+	// minTransit is the least transit time that is added to the age of a notice
+	// from another instance. A notice must not appear newer than it is, or instances
+	// would renew it for one another without end.
+	minTransit = 100 * time.Millisecond
+	// rowBytes is the size of a row in a digest beyond the names in it.
 	rowBytes = 32
 )
 
-// Fill implements gossip.Part. Rows are sent in turn, beginning after the last
-// one sent, so that many get round within a few exchanges.
+// Fill implements gossip.Part. Rows are sent in rotation, starting after the last
+// one sent, so that all of them are sent within a few exchanges.
 func (k *Keeper) Fill(digest *gossip.Digest, _ string, budget int) int {
-	if !k.any.Load() {
+	if !k.nonEmpty.Load() {
 		return 0
 	}
 	now, used := k.o.Clock.Now(), 0
 	rows := k.o.Board.Notices.Snapshot()
-	for _, target := range k.inTurn(rows) {
-		n, worth := told(target, rows[target], now)
-		if !worth {
+	for _, target := range k.rotation(rows) {
+		n, send := outgoingNotice(target, rows[target], now)
+		if !send {
 			continue
 		}
 		size := len(target) + len(n.Limit.By) + rowBytes
@@ -39,31 +39,32 @@
 		}
 		used += size
 		digest.Notices = append(digest.Notices, n)
-		k.cursor.Store(&target)
+		k.lastSent.Store(&target)
 	}
 	return used
 }
 
-// told returns what is told of a target, and whether it is worth it.
-func told(target string, row board.Notice, now time.Time) (gossip.Notice, bool) {
+// outgoingNotice returns the row of a target for a digest, and whether it holds
+// anything to send.
+func outgoingNotice(target string, row board.Notice, now time.Time) (gossip.Notice, bool) {
 	n := gossip.Notice{Target: target}
-	if age := now.Sub(row.LeavingAt); row.Leaving && age < unlistedLife {
+	if age := now.Sub(row.LeavingAt); row.Leaving && age < unlistedTTL {
 		n.Leaving, n.LeavingAge = true, age
 	}
-	if age := now.Sub(row.Limit.At); row.Limit.By != "" && age < limitLife {
+	if age := now.Sub(row.Limit.At); row.Limit.By != "" && age < limitTTL {
 		n.Limit = gossip.NoticeLimit{By: row.Limit.By, Seq: row.Limit.Seq, Age: age, Named: row.Limit.Named, Rate: row.Limit.Rate}
 	}
 	return n, n.Leaving || n.Limit.By != ""
 }
 
-// inTurn returns the targets in order, beginning after the cursor.
-func (k *Keeper) inTurn(rows map[string]board.Notice) []string {
+// rotation returns the targets sorted by name, starting after the last one sent.
+func (k *Keeper) rotation(rows map[string]board.Notice) []string {
 	targets := make([]string, 0, len(rows))
 	for target := range rows {
 		targets = append(targets, target)
 	}
 	slices.Sort(targets)
-	last := k.cursor.Load()
+	last := k.lastSent.Load()
 	if last == nil {
 		return targets
 	}
@@ -77,26 +78,26 @@
 // Absorb implements gossip.Part.
 func (k *Keeper) Absorb(digest gossip.Digest) {
 	now := k.o.Clock.Now()
-	sent := now.Add(-max(digest.Transit, onTheWay))
+	sent := now.Add(-max(digest.Transit, minTransit))
 	for _, n := range digest.Notices {
 		if n.Target == "" {
 			continue
 		}
-		k.update(n.Target, func(row *board.Notice) {
-			if n.Leaving && n.LeavingAge < unlistedLife {
-				leaves(row, sent.Add(-n.LeavingAge))
+		k.updateRow(n.Target, func(row *board.Notice) {
+			if n.Leaving && n.LeavingAge < unlistedTTL {
+				markLeaving(row, sent.Add(-n.LeavingAge))
 			}
-			absorbLimit(&row.Limit, n.Limit, sent)
+			mergeLimit(&row.Limit, n.Limit, sent)
 		})
 	}
 }
 
-// absorbLimit takes in what another instance tells of a limit if it is newer
-// than what is known. Of one instance's word the count tells which is newer, of
-// two instances' words the time at which they were heard. sent is when the
-// digest was sent, as well as can be told.
-func absorbLimit(row *board.TargetLimit, in gossip.NoticeLimit, sent time.Time) {
-	if in.By == "" || in.Age >= limitLife || !(in.Rate >= 0) || math.IsInf(in.Rate, 0) {
+// mergeLimit applies a limit received from another instance if it is newer than
+// the known one. Two reports by the same instance are ordered by their sequence
+// number, reports by different instances by the time at which they received the
+// limit. sent is the estimated time at which the digest was sent.
+func mergeLimit(row *board.TargetLimit, in gossip.NoticeLimit, sent time.Time) {
+	if in.By == "" || in.Age >= limitTTL || !(in.Rate >= 0) || math.IsInf(in.Rate, 0) {
 		return
 	}
 	at := sent.Add(-in.Age)
--- a/internal/notice/gossip_test.go
+++ b/internal/notice/gossip_test.go
@@ -11,10 +11,10 @@
 	"lynxhill.example/lynxhill/internal/gossip"
 )
 
-const plenty = 1 << 20
+const largeBudget = 1 << 20
 
-// three returns three keepers that have heard nothing.
-func three() []*Keeper {
+// newKeepers returns three empty keepers.
+func newKeepers() []*Keeper {
 	var list []*Keeper
 	for n := range 3 {
 		list = append(list, New(Options{Self: fmt.Sprint("i-", n), Board: board.New()}))
@@ -22,35 +22,35 @@
 	return list
 }
 
-// tell has one keeper tell another what it knows.
-func tell(from, to *Keeper) {
+// sendDigest sends the notices of one keeper to another.
+func sendDigest(from, to *Keeper) {
 	var digest gossip.Digest
-	from.Fill(&digest, "", plenty)
+	from.Fill(&digest, "", largeBudget)
 	to.Absorb(digest)
 }
 
-// TestTheNewestWordHolds: of what instances tell each other the word that a target gave last holds, whatever way it comes.
-func TestTheNewestWordHolds(t *testing.T) {
+// TestNewestNoticeWins checks that the last limit of a target wins, whatever way it reaches an instance.
+func TestNewestNoticeWins(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		k := three()
+		k := newKeepers()
 		k[0].Sent("a").Answered(limitOf(2), true)
-		tell(k[0], k[1])
+		sendDigest(k[0], k[1])
 		time.Sleep(time.Second)
 		k[0].Sent("a").Answered(limitOf(1), true)
-		tell(k[1], k[0])
-		tell(k[1], k[2])
+		sendDigest(k[1], k[0])
+		sendDigest(k[1], k[2])
 		if rate, _ := k[0].Limit("a"); rate != 1 {
-			t.Errorf("an older word of its own came back: %v", rate)
+			t.Errorf("an older notice of its own replaced the newer one: %v", rate)
 		}
-		tell(k[0], k[2])
-		tell(k[1], k[2])
+		sendDigest(k[0], k[2])
+		sendDigest(k[1], k[2])
 		if rate, _ := k[2].Limit("a"); rate != 1 {
-			t.Errorf("the older of two words holds: %v", rate)
+			t.Errorf("the older of two notices won: %v", rate)
 		}
 		time.Sleep(time.Second)
 		k[2].Sent("a").Answered(fleet.Notice{}, true)
-		tell(k[0], k[2])
-		tell(k[2], k[0])
+		sendDigest(k[0], k[2])
+		sendDigest(k[2], k[0])
 		for _, n := range []int{0, 2} {
 			if _, named := k[n].Limit("a"); named {
 				t.Errorf("i-%d: the limit has not ended", n)
@@ -59,17 +59,17 @@
 	})
 }
 
-// Symptom: a target is spared for ever after an instance heard its limit once. Events: no instance hears from the target
-// again; instances tell each other what they know. Cause: what comes back by way of others looked new.
-func TestNoWordLivesOnItsEcho(t *testing.T) {
+// Guards against a target that is spared without end after one instance received its limit. No instance received anything
+// from the target any more, but a notice that came back through other instances appeared new.
+func TestGossipDoesNotExtendNoticeTTL(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		k := three()
+		k := newKeepers()
 		k[0].Sent("a").Answered(limitOf(2), true)
 		k[0].Sent("b").Answered(fleet.Notice{Leaving: true}, true)
-		for range 2 * int(unlistedLife/time.Second) {
+		for range 2 * int(unlistedTTL/time.Second) {
 			for n := range k {
-				tell(k[n], k[(n+1)%3])
-				tell(k[n], k[(n+2)%3])
+				sendDigest(k[n], k[(n+1)%3])
+				sendDigest(k[n], k[(n+2)%3])
 				k[n].Forget(func(string) bool { return false })
 			}
 			time.Sleep(time.Second)
@@ -82,10 +82,10 @@
 	})
 }
 
-// TestManyRowsGetRound: what does not fit one digest is told in the next ones.
-func TestManyRowsGetRound(t *testing.T) {
+// TestAllRowsAreSentInTurn checks that rows that do not fit one digest are sent in the next ones.
+func TestAllRowsAreSentInTurn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		k := three()
+		k := newKeepers()
 		const targets = 100
 		for n := range targets {
 			k[0].Sent(fmt.Sprint("t", n)).Answered(limitOf(1), true)
@@ -98,14 +98,14 @@
 			k[1].Absorb(digest)
 		}
 		if n := k[1].o.Board.Notices.Len(); n != targets {
-			t.Errorf("%d of %d targets got round", n, targets)
+			t.Errorf("%d of %d targets received", n, targets)
 		}
 	})
 }
 
-// TestWordThatCannotBeSoIsLeftOut: a row of nonsense changes nothing.
-func TestWordThatCannotBeSoIsLeftOut(t *testing.T) {
-	k := three()[0]
+// TestInvalidLimitIsIgnored checks that invalid rows change nothing.
+func TestInvalidLimitIsIgnored(t *testing.T) {
+	k := newKeepers()[0]
 	zero := 0.0
 	for _, l := range []gossip.NoticeLimit{
 		{By: "x", Named: true, Rate: -1}, {By: "x", Named: true, Rate: 1 / zero}, {By: "x", Named: true, Rate: zero / zero}, {Named: true, Rate: 1},
@@ -113,7 +113,7 @@
 	} {
 		k.Absorb(gossip.Digest{Notices: []gossip.Notice{{Target: "a", Limit: l}, {Limit: l}}})
 		if _, named := k.Limit("a"); named {
-			t.Errorf("%+v was taken", l)
+			t.Errorf("%+v was accepted", l)
 		}
 	}
 }
--- a/internal/notice/notice_test.go
+++ b/internal/notice/notice_test.go
@@ -16,40 +16,40 @@
 
 func limitOf(rate float64) fleet.Notice { return fleet.Notice{Limit: &rate} }
 
-// TestAnswered tells what is kept of the answers of one target, one after the
-// other, a second apart.
+// TestAnswered checks which notices are kept after a sequence of responses of one
+// target, one second apart.
 func TestAnswered(t *testing.T) {
-	type answer struct {
+	type response struct {
 		fleet.Notice
 		failed bool
 	}
-	said := func(n fleet.Notice) answer { return answer{Notice: n} }
+	served := func(n fleet.Notice) response { return response{Notice: n} }
 	for _, c := range []struct {
-		name    string
-		answers []answer
-		leaving bool
-		limit   float64 // -1 = none
-		paused  bool
+		name      string
+		responses []response
+		leaving   bool
+		limit     float64 // -1 = none
+		paused    bool
 	}{
-		{"nothing", []answer{said(fleet.Notice{})}, false, -1, false},
-		{"leaving", []answer{said(fleet.Notice{Leaving: true})}, true, -1, false},
-		{"leaving is not taken back", []answer{said(fleet.Notice{Leaving: true}), said(fleet.Notice{})}, true, -1, false},
-		{"another target answers", []answer{{Notice: fleet.Notice{From: "b", Limit: limitOf(1).Limit, Pause: time.Minute}, failed: true}}, true, -1, false},
-		{"the target names itself", []answer{said(fleet.Notice{From: "a", Limit: limitOf(1).Limit})}, false, 1, false},
-		{"limit", []answer{said(limitOf(1.2))}, false, 1.2, false},
-		{"another limit", []answer{said(limitOf(1.2)), said(limitOf(3))}, false, 3, false},
-		{"limit of nothing", []answer{said(limitOf(0))}, false, 0, false},
-		{"limit ended", []answer{said(limitOf(1.2)), said(fleet.Notice{})}, false, -1, false},
-		{"limit is not ended by a failure", []answer{said(limitOf(1.2)), {failed: true}}, false, 1.2, false},
-		{"limit is not ended by what can't be read", []answer{said(limitOf(1.2)), {Notice: fleet.Notice{Unreadable: "x"}, failed: true}}, false, 1.2, false},
-		{"pause", []answer{{Notice: fleet.Notice{Pause: 2 * time.Second}, failed: true}}, false, -1, true},
-		{"pause is over", []answer{{Notice: fleet.Notice{Pause: 500 * time.Millisecond}, failed: true}}, false, -1, false},
+		{"nothing", []response{served(fleet.Notice{})}, false, -1, false},
+		{"leaving", []response{served(fleet.Notice{Leaving: true})}, true, -1, false},
+		{"leaving is not withdrawn", []response{served(fleet.Notice{Leaving: true}), served(fleet.Notice{})}, true, -1, false},
+		{"another target responds", []response{{Notice: fleet.Notice{From: "b", Limit: limitOf(1).Limit, Pause: time.Minute}, failed: true}}, true, -1, false},
+		{"the target identifies itself", []response{served(fleet.Notice{From: "a", Limit: limitOf(1).Limit})}, false, 1, false},
+		{"limit", []response{served(limitOf(1.2))}, false, 1.2, false},
+		{"another limit", []response{served(limitOf(1.2)), served(limitOf(3))}, false, 3, false},
+		{"limit of zero", []response{served(limitOf(0))}, false, 0, false},
+		{"limit ended", []response{served(limitOf(1.2)), served(fleet.Notice{})}, false, -1, false},
+		{"limit is not ended by a failure", []response{served(limitOf(1.2)), {failed: true}}, false, 1.2, false},
+		{"unreadable notice does not end a limit", []response{served(limitOf(1.2)), {Notice: fleet.Notice{Unreadable: "x"}, failed: true}}, false, 1.2, false},
+		{"pause", []response{{Notice: fleet.Notice{Pause: 2 * time.Second}, failed: true}}, false, -1, true},
+		{"pause has ended", []response{{Notice: fleet.Notice{Pause: 500 * time.Millisecond}, failed: true}}, false, -1, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				b := board.New()
 				k := New(Options{Board: b})
-				for _, a := range c.answers {
+				for _, a := range c.responses {
 					x := k.Sent("a")
 					time.Sleep(time.Second)
 					x.Answered(a.Notice, !a.failed)
@@ -68,10 +68,9 @@
 	}
 }
 
-// Symptom: a target in need is given its full share for a moment, again and again. Events: of two answers the one that was
-// given first comes last, over a link that loses packets; it names no limit, the other did. Cause: the last one to come was
-// taken for the newest.
-func TestOvertakenAnswerEndsNoLimit(t *testing.T) {
+// Guards against an overloaded target that repeatedly receives its full load for a moment. Over a link that loses packets,
+// an earlier response without a limit arrived after a later one with a limit, and the last to arrive counted as the newest.
+func TestLimitSurvivesReorderedResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := board.New()
 		k := New(Options{Board: b})
@@ -85,9 +84,9 @@
 	})
 }
 
-// TestEachChangeHasItsLine shows that the log tells which instance heard what of which target, once a change and not with
-// each answer.
-func TestEachChangeHasItsLine(t *testing.T) {
+// TestChangeIsLoggedOnce checks that the log names the target of each change and what changed, and that a change is logged
+// once and not for each response.
+func TestChangeIsLoggedOnce(t *testing.T) {
 	var out bytes.Buffer
 	k := New(Options{Logger: event.NewLogger(log.NewLogfmtLogger(&out))})
 	for range 3 {
