--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,6 +1,5 @@
-// Package fleet holds the targets of plain HTTP requests as the platform lists
-// them: an immutable View of all, and what changed between two of them. It does
-// no I/O and reads no clock.
+// Package fleet holds the targets of plain HTTP requests as the platform lists them, in
+// an immutable View. It performs no I/O and reads no clock.
 package fleet
 
 import (
@@ -9,52 +8,53 @@
 	"time"
 )
 
-// Target is one running copy of a service's server.
+// Target is one running server of a service.
 type Target struct {
-	ID       string // of this life; a restarted server has another
+	ID       string // of this run; a restarted server has another
 	Service  string
 	Address  string // IP:port
 	Place    string
 	Slots    int
-	Draining bool // takes no new work: it leaves, or its place is evacuated
-	// Sequence counts the target's own words to the store; 0 = it does not say.
+	Draining bool // accepts no new work: it is leaving, or its availability zone is evacuated
+	// Sequence counts the updates that the target itself wrote to the store; 0 = it does
+	// not report it.
 	Sequence uint64
-	// ColdFor is how much longer the target was cold when it said so; 0 = it is
-	// not, or ColdUntil tells.
+	// ColdFor is the remaining cold period that the target reported; 0 = it is not cold,
+	// or ColdUntil is set.
 	ColdFor time.Duration
-	// ColdUntil is the moment until which the target has to be spared; zero = it
-	// was not cold.
+	// ColdUntil is the end of the cold period, in which the target should get less load;
+	// zero = it was not cold.
 	ColdUntil time.Time
 }
 
-// Cold reports whether the target has to be spared at the moment.
+// Cold reports whether the target is in its cold period at the given time.
 func (t Target) Cold(now time.Time) bool { return now.Before(t.ColdUntil) }
 
-// Notice is what a target asks, in an answer, of those who send it requests.
+// Notice is what a target announces in a response to those who send it requests.
 type Notice struct {
-	Leaving bool // it leaves and wants no new work
-	// Limit is how many requests a second the target takes from all instances
+	Leaving bool // it is leaving and accepts no new work
+	// Limit is the request rate, per second, that the target accepts from all instances
 	// together; nil = it names no limit.
 	Limit *float64
-	// Pause is for how long a target that turned the request away wants nothing
-	// more from this instance; 0 = it does not say.
+	// Pause is how long a target that rejected the request accepts nothing more from
+	// this instance; 0 = it does not say.
 	Pause time.Duration
-	// From is the id of the target that answers, if it says so: another one than
-	// was meant has taken its address. "" = it does not say.
+	// From is the id of the responding target, if it names one. Another id than that of
+	// the intended target shows that its address has been reassigned. "" = not named.
 	From string
-	// Unreadable is what the target said and could not be read; "" = nothing.
+	// Unreadable is the part of the notice that could not be parsed; "" = none.
 	Unreadable string
 }
 
-// View is the targets at one moment. It never changes.
+// View is the set of targets at one moment. It is immutable.
 type View struct {
-	Revision  uint64 // of the store, newest change seen
+	Revision  uint64 // revision of the store up to which changes are included
 	byID      map[string]Target
 	byService map[string][]Target // ready ones, by ID
 	byAddress map[string]string   // address to ID
 }
 
-// NewView returns a view of the targets.
+// NewView returns a View of the targets.
 func NewView(revision uint64, targets []Target) *View {
 	v := &View{
 		Revision:  revision,
@@ -75,8 +75,8 @@
 	return v
 }
 
-// Ready returns the targets of the service that take new work, ordered by ID.
-// The caller must not change the slice.
+// Ready returns the targets of the service that accept new work, ordered by ID. The
+// caller must not modify the slice.
 func (v *View) Ready(service string) []Target { return v.byService[service] }
 
 // Get returns a target, ready or draining.
@@ -85,13 +85,13 @@
 	return t, ok
 }
 
-// Usable reports whether the target is listed and takes new work.
+// Usable reports whether the target is listed and accepts new work.
 func (v *View) Usable(id string) bool {
 	t, ok := v.byID[id]
 	return ok && !t.Draining
 }
 
-// All returns every target, in no order.
+// All returns every target, in no particular order.
 func (v *View) All() []Target {
 	all := make([]Target, 0, len(v.byID))
 	for _, t := range v.byID {
