--- a/internal/board/bench_test.go
+++ b/internal/board/bench_test.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// The size of letter 1.
+// Table sizes of a large deployment.
 const (
 	benchTargets       = 600
 	benchOrganisations = 19000
 )
 
-func loadsTable() *Table[Load] {
+func newLoadTable() *Table[Load] {
 	table := NewTable[Load]()
 	for i := range benchTargets {
 		table.Put(fmt.Sprintf("lynx-pool-%03d", i), Load{At: time.Unix(int64(i), 0)})
@@ -21,7 +21,7 @@
 	return table
 }
 
-func usageTable() (*Table[Usage], []string) {
+func newUsageTable() (*Table[Usage], []string) {
 	table := NewTable[Usage]()
 	keys := make([]string, benchOrganisations)
 	for i := range keys {
@@ -32,7 +32,7 @@
 }
 
 func BenchmarkSnapshotTargets(b *testing.B) {
-	table := loadsTable()
+	table := newLoadTable()
 	b.ReportAllocs()
 	for b.Loop() {
 		table.Snapshot()
@@ -40,7 +40,7 @@
 }
 
 func BenchmarkSnapshotOrganisations(b *testing.B) {
-	table, _ := usageTable()
+	table, _ := newUsageTable()
 	b.ReportAllocs()
 	for b.Loop() {
 		table.Snapshot()
@@ -48,7 +48,7 @@
 }
 
 func BenchmarkGetParallel(b *testing.B) {
-	table, keys := usageTable()
+	table, keys := newUsageTable()
 	var next atomic.Uint32
 	b.RunParallel(func(pb *testing.PB) {
 		i := int(next.Add(1)) * 977
@@ -60,7 +60,7 @@
 }
 
 func BenchmarkUpdateParallel(b *testing.B) {
-	table, keys := usageTable()
+	table, keys := newUsageTable()
 	var next atomic.Uint32
 	b.RunParallel(func(pb *testing.PB) {
 		i := int(next.Add(1)) * 977
@@ -74,10 +74,10 @@
 	})
 }
 
-// BenchmarkUpdateBesideSnapshots updates while another goroutine copies the
-// whole table again and again.
+// BenchmarkUpdateBesideSnapshots updates rows while another goroutine copies the whole
+// table repeatedly.
 func BenchmarkUpdateBesideSnapshots(b *testing.B) {
-	table, keys := usageTable()
+	table, keys := newUsageTable()
 	stop := make(chan struct{})
 	go func() {
 		for {
--- a/internal/board/board.go
+++ b/internal/board/board.go
@@ -7,27 +7,27 @@
 	"lynxhill.example/lynxhill/internal/wire/targetapi"
 )
 
-// Board is the blackboard of one instance. Each table names who writes it.
+// Board is the blackboard of one instance. The comment of each table names its writer.
 type Board struct {
 	// Facts.
 
 	// Targets by target id; written by the discovery controller from the
 	// platform's instance list.
 	Targets *Table[Target]
-	// Loads by target id; written by the load view controller and from
-	// reports that ride on the targets' own responses.
+	// Loads by target id; written by the load view controller, and from load reports
+	// in the targets' own responses.
 	Loads *Table[Load]
 	// Members by instance id; written by membership.
 	Members *Table[Member]
-	// Profiles by name; written by profile sync. Versions only rise.
+	// Profiles by name; written by profile sync. Versions never decrease.
 	Profiles *Table[profile.Versioned]
-	// Objects by store key: small configuration objects (profiles, drains,
-	// limits, plans) as they are in force; written by profile sync. Versions
-	// only rise.
+	// Objects by store key: small configuration objects (profiles, drains, limits,
+	// plans) in the version that is in force; written by profile sync. Versions never
+	// decrease.
 	Objects *Table[ConfigObject]
-	// Prefixes by target id: hashes of prefixes believed to be cached.
+	// Prefixes by target id: hashes of prefixes that are probably cached.
 	Prefixes *Table[PrefixSet]
-	// Usage by organisation id: use over all instances, from peers' digests.
+	// Usage by organisation id: use on all other instances, from their digests.
 	Usage *Table[Usage]
 
 	// Decisions.
@@ -37,23 +37,23 @@
 	Drains *Table[Drain]
 	// Leases by service; written by the lease controller.
 	Leases *Table[Lease]
-	// Placements by target id: what an engine should hold; written by the
+	// Placements by target id: what an engine should have loaded; written by the
 	// orders controller.
 	Placements *Table[Placement]
-	// Steering holds one row, SteeringRow: the answer to address questions.
+	// Steering holds one row, SteeringRow: the answer to address queries.
 	Steering *Table[Steering]
 	// Limits by organisation id; written by the limits controller.
 	Limits *Table[Limit]
 	// Refused by request fingerprint: requests that crash targets.
 	Refused *Table[Refusal]
-	// Notices by target id: what targets ask in their answers; written by the
-	// notice keeper.
+	// Notices by target id: leaving, limit and pause that targets announced in their
+	// responses; written by package notice.
 	Notices *Table[Notice]
-	// Self holds one row, SelfRow: what this instance may do now.
+	// Self holds one row, SelfRow: what this instance may do at present.
 	Self *Table[Self]
 }
 
-// Keys of the tables with one row.
+// Keys of the rows of tables with a single row.
 const (
 	SteeringRow = "steering"
 	SelfRow     = "self"
@@ -90,24 +90,24 @@
 	Place       string
 	Region      string
 	ChecksFence bool
-	// Leaving is set at the first sign that the target is leaving, whatever
-	// its source, and is cleared only by later live signs.
+	// Leaving is set at the first sign that the target is leaving, whatever its
+	// source, and is cleared only by later signs that it is live.
 	Leaving bool
-	// LeavingSince is when this instance learned of it.
+	// LeavingSince is when this instance learned of the sign.
 	LeavingSince time.Time
-	// LeavingSign is when the sign was given, as well as can be told; it may
-	// have been to another instance. Zero stands for LeavingSince.
+	// LeavingSign is the estimated time at which the sign was given, possibly to
+	// another instance. Zero: LeavingSince applies.
 	LeavingSign time.Time
-	// LiveSince is when the last leaving mark was cleared; older marks that
-	// peers still pass on are ignored.
+	// LiveSince is when the leaving mark was last cleared. Marks with an earlier sign,
+	// which peers may still send, are ignored.
 	LiveSince time.Time
 	// MissingSince is set while the platform's list lacks the target.
 	MissingSince time.Time
 }
 
-// MarkLeaving returns the target with the leaving mark of a sign that was given
-// at one moment and learned of at another; the first sign wins. It returns
-// false if nothing changes.
+// MarkLeaving returns the target with a leaving mark for a sign that was given at one
+// time and learned of at another. The first sign wins. It returns false if nothing
+// changes.
 func (t Target) MarkLeaving(given, learned time.Time) (Target, bool) {
 	if t.Leaving || !given.After(t.LiveSince) {
 		return t, false
@@ -124,44 +124,44 @@
 	return t.LeavingSign
 }
 
-// Notice is what a target asked, in its newest answers, of all who send it
-// requests.
+// Notice holds what a target announced in its latest responses to all instances that
+// send it requests.
 type Notice struct {
-	// Leaving is set once the target said that it leaves. It is never taken
-	// back: one that starts again has another id. LeavingAt is when it did.
+	// Leaving is set once the target announced, at LeavingAt, that it is leaving. It
+	// is never cleared, since a restarted target has another id.
 	Leaving   bool
 	LeavingAt time.Time
 	Limit     TargetLimit
-	// PausedTo is until when the target wants nothing from this instance; zero =
-	// it has not said so.
+	// PausedTo is the time until which the target accepts nothing from this instance;
+	// zero: it requested no pause.
 	PausedTo time.Time
-	// Heard is when the target was last heard to ask for something.
+	// Heard is when a response or a digest last changed the row.
 	Heard time.Time
 }
 
-// TargetLimit is what a target last said about how many requests it takes.
+// TargetLimit is the request rate that a target last announced to accept.
 type TargetLimit struct {
-	Named bool    // false = the target names no limit, or none any more
+	Named bool    // false = the target named no limit, or names none any more
 	Rate  float64 // requests a second from all instances together
 	At    time.Time
-	// By and Seq name the answer that said so: a life of an instance, and its
-	// count of such answers.
+	// By and Seq identify the response that named the limit, or named none any more: the
+	// run of an instance, and its count of such responses.
 	By  string
 	Seq uint64
 }
 
-// Load is a target's load report with when it reached this instance.
+// Load is a target's load report with the time at which it reached this instance.
 type Load struct {
 	Report   targetapi.LoadReport
 	Received time.Time // by this instance's clock
-	At       time.Time // when it was true, as well as can be told
-	Via      string    // instance that polled it, "" for our own poll or response
+	At       time.Time // estimated time at which it was measured
+	Via      string    // instance that polled it, "" for this instance's own poll or a response
 }
 
-// MemberState is what membership believes of an instance.
+// MemberState is the state of an instance in the membership list.
 type MemberState string
 
-// Member states. All are hints: no safety rests on them.
+// Member states. All are hints: no safety property depends on them.
 const (
 	MemberAlive   MemberState = "alive"
 	MemberSuspect MemberState = "suspect"
@@ -181,48 +181,47 @@
 	Region      string
 	Room        float64 // free share of its admission limit, 0 to 1
 	InFlight    int
-	Profiles    uint64 // highest version of the profile set that it has in force
+	Profiles    uint64 // highest configuration version that it has in force
 	Changed     time.Time
-	// Left says of a dead member that it had announced its leaving, or that an
-	// operator said that it is gone.
+	// Left is set on a dead member that had announced its leaving, or that an operator
+	// declared gone.
 	Left bool
-	// Fleet says of a dead member how many instances it may have known when it
-	// died, itself included; 0 if that is not known.
+	// Fleet is, for a dead member, the number of instances that it may have known when
+	// it died, itself included; 0 if not known.
 	Fleet int
-	// Capacity is the processor time that the instance has, in cores; 0 if it
-	// does not say.
+	// Capacity is the processor time available to the instance, in cores; 0 if it does
+	// not report it.
 	Capacity float64
 	// StoreLost reports whether the instance's calls of the store are failing.
 	StoreLost bool
 }
 
-// ConfigObject is a configuration object as it is in force here. Deleted rows
-// stay as tombstones, so that an older version cannot come back.
+// ConfigObject is a configuration object in the version that is in force here. Deleted
+// objects stay as tombstones, so that an older version cannot return.
 type ConfigObject struct {
 	Version uint64
 	Value   []byte
 	Deleted bool
 }
 
-// PrefixSet is what is believed of an engine's prefix cache. Events come late
-// and with gaps, so it is only a hint.
+// PrefixSet holds the prefixes that an engine has probably cached. Cache events arrive
+// late and with gaps, so it is only a hint.
 type PrefixSet struct {
 	Seq    uint64
 	Hashes map[string]struct{}
-	// Gap is set when events were lost: a prefix that is not in Hashes may
-	// still be cached, and one that is in may have been evicted.
+	// Gap is set when events were lost: a prefix that is not in Hashes may still be
+	// cached, and one that is in Hashes may have been evicted.
 	Gap bool
 }
 
-// Usage is an organisation's use over the other instances.
+// Usage is the use of an organisation on the other instances.
 type Usage struct {
 	RatePerSecond float64
 	InFlight      int
 	Updated       time.Time
 }
 
-// Drain is an operator's order that an instance, place or target takes no new
-// work.
+// Drain is an operator's order that an instance, zone or target gets no new work.
 type Drain struct {
 	Subject string    `json:"subject"`
 	By      string    `json:"by"`
@@ -230,36 +229,36 @@
 	Version uint64    `json:"-"`
 }
 
-// Lease is what this instance knows of the lease on giving orders to a
-// service. Fence is the version of the lease's object.
+// Lease is what this instance knows of the lease that entitles its holder to give
+// orders to a service. Fence, the fencing number, is the version of the lease's object.
 type Lease struct {
 	Service string
 	Holder  string
 	Fence   uint64
-	// Until is the end of the lease on this instance's boot clock, which
-	// counts time in which the machine or process was suspended.
+	// Until is the end of the lease on this instance's boot clock, which includes time
+	// in which the host or process was suspended.
 	Until time.Duration
 	Mine  bool
-	// UncheckedFrom is when, on the boot clock, orders may first be given to
-	// engines that do not check fencing numbers: the orders of the holder
-	// before have run out by then.
+	// UncheckedFrom is the time, on the boot clock, from which orders may be given to
+	// engines that do not check fencing numbers: the orders of the previous holder have
+	// expired by then.
 	UncheckedFrom time.Duration
 }
 
-// Placement is the models, adapters and role that an engine should have.
+// Placement is the models, adapters and role that an engine should have loaded.
 type Placement struct {
 	Models []targetapi.LoadedModel
 	Role   string
 }
 
-// Steering is the answer to the question which instances to use.
+// Steering is the answer to the query which instances to use.
 type Steering struct {
 	Addresses []SteeringAddress
-	Keep      time.Duration // how long a caller may keep the answer
+	Keep      time.Duration // how long a caller may cache the answer
 	Computed  time.Time
 }
 
-// SteeringAddress is an instance with its share of callers.
+// SteeringAddress is an instance with its weight in the distribution of callers.
 type SteeringAddress struct {
 	ID      string
 	Address string
@@ -269,34 +268,34 @@
 	Weight  float64
 }
 
-// Limit is what an organisation may use on this instance now.
+// Limit is what an organisation may use on this instance at present.
 type Limit struct {
 	RatePerSecond float64 // 0 = no limit
-	Concurrent    int     // 0 = no limit, below 0 = none may run here now
+	Concurrent    int     // 0 = no limit, below 0 = no request may run here at present
 }
 
-// Refusal is a request that is refused because targets died while running it.
+// Refusal is a request that is refused because targets crashed while running it.
 type Refusal struct {
-	Targets []string // distinct targets that died
+	Targets []string // distinct targets that crashed
 	Until   time.Time
 }
 
-// Self is what this instance may do.
+// Self is what this instance may do at present.
 type Self struct {
-	Stopping bool // no new callers are sent here
+	Stopping bool // no new callers are directed here
 	Draining bool // by an operator's order
-	Isolated bool // cannot confirm its configuration: takes no new work
-	// Unconfirmed is set after a pause until the profile versions have been
-	// confirmed again: nothing is admitted or dispatched meanwhile.
+	Isolated bool // cannot confirm its configuration: accepts no new work
+	// Unconfirmed is set after this process was paused, until its configuration versions
+	// have been confirmed again: meanwhile nothing is admitted or dispatched.
 	Unconfirmed bool
-	// CutOff is set while this instance reaches none of its targets; written
-	// by the reach controller.
+	// CutOff is set while this instance cannot reach any of its targets; written by the
+	// reach controller.
 	CutOff bool
-	// Mark is the highest version up to which every configuration object is
-	// in force here; written by profile sync, passed on by membership.
+	// Mark is the highest version up to which every configuration object is in force
+	// here; written by profile sync, sent to other instances by membership.
 	Mark uint64
 }
 
-// MayAdmit reports whether new requests are taken. A stopping or draining
-// instance still admits: kept address answers send callers to it.
+// MayAdmit reports whether new requests are accepted. A stopping or draining instance
+// still admits requests: callers with a cached address answer still send them.
 func (s Self) MayAdmit() bool { return !s.Isolated && !s.Unconfirmed && !s.CutOff }
--- a/internal/board/members.go
+++ b/internal/board/members.go
@@ -2,21 +2,22 @@
 
 import "sort"
 
-// LiveMembers returns the ids of the members believed alive, in order, among
-// them self even if membership has not listed it yet.
+// LiveMembers returns the sorted ids of the members that are considered alive,
+// including self even if membership has not listed it yet.
 func (b *Board) LiveMembers(self string) []string {
 	return b.liveMembers(self, func(Member) bool { return true })
 }
 
-// LiveMembersIn is LiveMembers for one place.
-func (b *Board) LiveMembersIn(place, self string) []string {
-	return b.liveMembers(self, func(m Member) bool { return m.Place == place })
+// LiveMembersIn returns the ids that LiveMembers returns, limited to one availability
+// zone (short: zone).
+func (b *Board) LiveMembersIn(zone, self string) []string {
+	return b.liveMembers(self, func(m Member) bool { return m.Place == zone })
 }
 
-func (b *Board) liveMembers(self string, in func(Member) bool) []string {
+func (b *Board) liveMembers(self string, match func(Member) bool) []string {
 	ids := []string{self}
 	for id, m := range b.Members.Snapshot() {
-		if id != self && m.State == MemberAlive && in(m) {
+		if id != self && m.State == MemberAlive && match(m) {
 			ids = append(ids, id)
 		}
 	}
@@ -30,21 +31,20 @@
 	return ok
 }
 
-// Beginnings of the subjects of drains.
+// Prefixes of drain subjects.
 const (
 	DrainInstance = "instance/"
 	DrainPlace    = "place/"
 	DrainTarget   = "target/"
-	// DrainTargetsIn evacuates a place: its targets get no new work, whatever
-	// its instances do.
+	// DrainTargetsIn evacuates a zone: its targets get no new work, whatever its
+	// instances do.
 	DrainTargetsIn = "targets-in/"
 )
 
-// DrainSubjects are the beginnings of all subjects of drains.
+// DrainSubjects are all prefixes of drain subjects.
 var DrainSubjects = []string{DrainInstance, DrainPlace, DrainTarget, DrainTargetsIn}
 
-// TargetDrained reports whether an operator's order keeps new work from the
-// target.
+// TargetDrained reports whether an operator's drain keeps new work from the target.
 func (b *Board) TargetDrained(t Target) bool {
 	return b.Drained(DrainTarget+t.ID) || b.Drained(DrainTargetsIn+t.Place)
 }
--- a/internal/board/table.go
+++ b/internal/board/table.go
@@ -1,7 +1,7 @@
 // Package board is the blackboard: typed tables of facts and decisions that
-// controllers read and write and that the request path reads. Controllers
-// never call one another; each reads facts here and writes its decisions
-// here, and comes to the same decisions when it is run again from scratch.
+// controllers read and write and that the request path reads. Controllers never
+// call one another. Each reads facts from the board and writes its decisions to
+// it, and makes the same decisions again when it is rerun from scratch.
 package board
 
 import (
@@ -13,8 +13,8 @@
 // shardCount is the number of shards of a table. A power of two.
 const shardCount = 16
 
-// Table is a sharded map with one lock a shard. Values are treated as
-// immutable: a writer puts a new value and never changes one that is in.
+// Table is a sharded map with one lock per shard. Values are treated as immutable:
+// a writer stores a new value and never changes a stored one.
 type Table[V any] struct {
 	seed   maphash.Seed
 	shards [shardCount]shard[V]
@@ -48,7 +48,7 @@
 	return v, ok
 }
 
-// Put writes a row and signals the change.
+// Put stores a row and signals the change.
 func (t *Table[V]) Put(key string, v V) {
 	s := t.shardOf(key)
 	s.mu.Lock()
@@ -57,9 +57,9 @@
 	t.signal.Notify()
 }
 
-// Update replaces a row by what change makes of it, under the shard's lock.
-// change must not block nor call the table. It returns false to leave the row
-// as it is.
+// Update replaces a row by the result of change, under the shard's lock. change must
+// not block or call the table, and returns false to leave the row unchanged. Update
+// returns whether the row was replaced.
 func (t *Table[V]) Update(key string, change func(old V, found bool) (V, bool)) bool {
 	s := t.shardOf(key)
 	s.mu.Lock()
@@ -87,7 +87,7 @@
 	}
 }
 
-// Snapshot copies all rows. Rows written while it runs may or may not be in.
+// Snapshot copies all rows. Rows that are written meanwhile may be missing.
 func (t *Table[V]) Snapshot() map[string]V {
 	all := make(map[string]V, t.Len())
 	for i := range t.shards {
@@ -107,9 +107,9 @@
 	Value V
 }
 
-// Entries copies all rows into one slice, in no order. A snapshot takes an
-// allocation for each row of more than 128 bytes, which this does not. Rows
-// written while it runs may or may not be in.
+// Entries copies all rows into one slice, in no particular order. Unlike Snapshot, it
+// needs no allocation for each row of more than 128 bytes. Rows that are written
+// meanwhile may be missing.
 func (t *Table[V]) Entries() []Entry[V] {
 	all := make([]Entry[V], 0, t.Len())
 	for i := range t.shards {
@@ -135,18 +135,18 @@
 	return n
 }
 
-// Changed returns a channel that is closed at the next change. Take it before
-// reading, so that a change in between is not missed.
+// Changed returns a channel that is closed at the next change. Call it before reading
+// rows, so that no change in between is missed.
 func (t *Table[V]) Changed() <-chan struct{} { return t.signal.Wait() }
 
-// Revision counts the changes of the table.
+// Revision returns the number of changes of the table.
 func (t *Table[V]) Revision() uint64 { return t.signal.Revision() }
 
-// Signal wakes any number of waiters at each change. Without waiters a change
-// takes no lock, so that writers of different shards do not meet here.
+// Signal wakes any number of waiters at each change. A change without waiters takes no
+// lock, so that writers of different shards do not contend here.
 type Signal struct {
 	revision atomic.Uint64
-	waiting  atomic.Bool // next is set
+	waiting  atomic.Bool // whether next is set
 
 	mu   sync.Mutex // guards next
 	next chan struct{}
@@ -165,9 +165,8 @@
 
 // Notify wakes all waiters.
 //
-// A waiter that began to wait without being seen here would sleep through the
-// change. It cannot: it sets waiting before it reads the data, and the data was
-// written before waiting is read here.
+// No waiter can miss the change: a waiter sets waiting before it reads the data, and
+// the data is written before Notify reads waiting.
 func (s *Signal) Notify() {
 	s.revision.Add(1)
 	if !s.waiting.Load() {
@@ -182,5 +181,5 @@
 	}
 }
 
-// Revision counts the calls of Notify.
+// Revision returns the number of calls of Notify.
 func (s *Signal) Revision() uint64 { return s.revision.Load() }
--- a/internal/board/table_test.go
+++ b/internal/board/table_test.go
@@ -17,7 +17,7 @@
 		t.Fatalf("%d rows, %d in the snapshot", n, len(rows))
 	}
 	if _, found := table.Get("7"); found {
-		t.Error("a deleted row is found")
+		t.Error("a deleted row was found")
 	}
 }
 
@@ -43,9 +43,8 @@
 	}
 }
 
-// Symptom: a controller sleeps although a fact it reads has changed.
-// Events: the fact changes between the controller's reading and its waiting.
-// Cause: the wait began after the change.
+// Guards against a controller that does not wake up although a fact that it reads has
+// changed, because the fact changes between its read and the start of its wait.
 func TestChangeBetweenReadAndWaitIsSeen(t *testing.T) {
 	table := NewTable[int]()
 	changed := table.Changed()
@@ -54,7 +53,7 @@
 	select {
 	case <-changed:
 	default:
-		t.Fatal("the change is not seen")
+		t.Fatal("the change was missed")
 	}
 }
 
@@ -79,11 +78,11 @@
 	}
 }
 
-func TestMarkLeavingTakesTheFirstSign(t *testing.T) {
+func TestFirstSignOfLeavingWins(t *testing.T) {
 	at := func(s int) time.Time { return time.Unix(int64(s), 0) }
 	target, marked := Target{ID: "t", LiveSince: at(10)}.MarkLeaving(at(9), at(20))
 	if marked {
-		t.Fatal("a sign from before the target came back was taken")
+		t.Fatal("a sign from before the target was live again was accepted")
 	}
 	target, marked = target.MarkLeaving(at(11), at(21))
 	if !marked || !target.Leaving || target.LeavingSince != at(21) || target.Sign() != at(11) {
@@ -93,7 +92,7 @@
 		t.Error("a second sign changed the mark")
 	}
 	if old := (Target{Leaving: true, LeavingSince: at(5)}); old.Sign() != at(5) {
-		t.Error("a mark without the time of its sign does not count from when it was learned")
+		t.Error("a mark without a time of its sign does not use the time at which it was learned")
 	}
 }
 
@@ -110,9 +109,9 @@
 	}
 }
 
-// Symptom: a controller sleeps through a change.
-// Events: it begins to wait at the moment of a write on another goroutine.
-// Cause: the writer saw no waiter, and the waiter read the row from before.
+// Guards against a lost wake-up when a controller starts to wait at the moment of a
+// write on another goroutine: the writer saw no waiter, and the waiter read the row as
+// it was before the write.
 func TestNoWakeUpIsLost(t *testing.T) {
 	for range 3000 {
 		table := NewTable[int]()
@@ -125,7 +124,7 @@
 			select {
 			case <-changed:
 			case <-time.After(5 * time.Second):
-				t.Fatal("slept through the change")
+				t.Fatal("the change did not wake the waiter")
 			}
 		}
 	}
@@ -140,6 +139,6 @@
 		t.Errorf("version %d, want 5", o.Version)
 	}
 	if b.AdoptObject("plans/a", ConfigObject{Version: 5, Deleted: true}) {
-		t.Error("adopted the version that is there")
+		t.Error("adopted an object with the stored version")
 	}
 }
