--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,6 +1,7 @@
-// Package admission decides what runs now, what waits and what is refused:
-// limits of organisations, fair queues, adaptive concurrency of targets,
-// budgets for retries and hedges, early refusal.
+// Package admission controls which requests run, wait or are refused. It
+// enforces the limits of organisations, queues attempts fairly, adapts a
+// concurrency limit for each target, bounds retries and hedges by a retry
+// budget, and refuses early what cannot meet its deadline.
 package admission
 
 import (
@@ -10,7 +11,7 @@
 	"lynxhill.example/lynxhill/internal/routing"
 )
 
-// Entry describes a request at its entry.
+// Entry describes a request that asks for admission to the instance.
 type Entry struct {
 	Organisation string
 	Profile      string
@@ -20,88 +21,91 @@
 
 // Admitter admits requests to the instance.
 type Admitter interface {
-	// Admit admits a request or refuses it at once with OrganisationLimit,
-	// Overloaded, Isolated or DeadlineUnreachable. The caller runs leave when
+	// Admit admits a request, or refuses it immediately with OrganisationLimit,
+	// Overloaded, Isolated or DeadlineUnreachable. The caller must call leave when
 	// the request has ended.
 	Admit(ctx context.Context, entry Entry) (leave func(), err error)
 }
 
-// Want asks for a slot on a target for one attempt.
+// Want describes the slot that one attempt needs on a target.
 type Want struct {
 	Query    routing.Query
 	Priority int
-	// Provider, if set, names the only provider that may answer: a stream that
-	// was begun by one model can't be resumed by another.
+	// Provider, if set, is the only provider that may be chosen: a stream that
+	// was begun by one model cannot be resumed by another.
 	Provider string
-	// Repeat marks a retry, resume or hedge: it is granted only within the
-	// budget for repeats, so that a fault does not multiply the load.
+	// Repeat marks a retry, resume or hedge. It is granted only within the retry
+	// budget, so that a fault does not multiply the load.
 	Repeat bool
-	// Fault marks a repeat that follows something other than load (a connection
-	// that broke or could not be made, a target that is leaving) or that takes
-	// over from an attempt: it has a larger budget of its own.
+	// Fault marks a retry, resume or hedge that follows a failure that is not a
+	// sign of load (a connection that broke or could not be made, a target that
+	// is leaving), or that takes over from a running attempt. It is charged to a
+	// separate, larger budget.
 	Fault bool
-	// NoWait refuses instead of queueing: for hedges.
+	// NoWait refuses the attempt instead of queueing it; it is set for hedges.
 	NoWait bool
 }
 
-// Result tells the gate how an attempt went.
+// Result describes how an attempt ended.
 type Result struct {
 	Duration  time.Duration
-	FirstByte time.Duration // 0 if none came
+	FirstByte time.Duration // 0 if no byte was received
 	Gap       time.Duration // longest wait between two frames, 0 if unknown
 	PerToken  time.Duration // after the first frame, 0 if unknown
-	Tokens    int           // of a whole answer, 0 if unknown
+	Tokens    int           // of a complete answer, 0 if unknown
 	OK        bool
-	Refused   bool // the target said busy or leaving
-	Overload  bool // timeout or silence: a sign of overload for the limit
-	Leaving   bool // the target said that it is leaving
-	Cancelled bool // ended by us; says nothing of the target
-	// Connection: the connection was at fault; says nothing of the target.
+	Refused   bool // the target refused the call as busy or leaving
+	Overload  bool // timeout or silence, which the limiter treats as overload
+	Leaving   bool // the target reported that it is leaving
+	Cancelled bool // cancelled by this instance: no failure of the target
+	// Connection marks a failure of the connection, which says nothing about the
+	// target.
 	Connection bool
-	Outrun     bool // cancelled because another target began first
+	Outrun     bool // cancelled because an attempt on another target responded first
 }
 
 // Slot is the right to make one attempt on the chosen target.
 type Slot interface {
 	Choice() routing.Choice
-	// Pace tells the time a token of a stream that is still under way, so that
-	// a straggler is ejected before the streams on it have ended. It is for
-	// streams that stand out.
+	// Pace reports the time per token of a stream in progress, so that a
+	// straggler is ejected before the streams on it have ended. It is called for
+	// unusually slow streams only.
 	Pace(perToken time.Duration)
-	// Done gives the slot back, once.
+	// Done releases the slot. Only the first call has an effect.
 	Done(result Result)
 }
 
-// Gate hands out slots.
+// Gate grants slots on targets.
 type Gate interface {
-	// Acquire chooses a target with room, or waits in the service's queue
-	// (by priority, fair between organisations, earliest deadline first)
-	// until one has. It refuses with NoTarget, Overloaded,
-	// DeadlineUnreachable or DeadlineBeforeRun; kinds that say "not run" are
-	// about this attempt only.
+	// Acquire chooses a target with free capacity, or waits in the queue of the
+	// service (by priority, fair between organisations, earliest deadline first)
+	// until there is one. It refuses with NoTarget, Overloaded,
+	// DeadlineUnreachable or DeadlineBeforeRun. Error kinds that mean "not run"
+	// are about this attempt only.
 	Acquire(ctx context.Context, want Want) (Slot, error)
-	// Timeouts returns how long to wait for the first byte and between frames
-	// for the choice, from the target's own latency distribution, and after
-	// how long a hedge is worth while (0: not at all).
+	// Timeouts returns how long to wait for the first byte and between frames for
+	// the choice, derived from the latency distribution of the target, and after
+	// how long to hedge (0: not at all).
 	Timeouts(choice routing.Choice, query routing.Query) Timeouts
-	// Quantile returns the q-quantile of the stage's measured total time, and
-	// false while too little is measured.
+	// Quantile returns the q-quantile of the measured total time of the stage, and
+	// false while there are too few samples.
 	Quantile(service string, stage string, q float64) (time.Duration, bool)
 }
 
-// Timeouts govern one attempt.
+// Timeouts are the time limits of one attempt.
 type Timeouts struct {
 	FirstByte time.Duration
 	Progress  time.Duration
 	HedgeAt   time.Duration
-	// Usual is how the stage goes on its targets; zero while too little is
-	// measured.
+	// Usual holds the typical values of the stage over all targets; zero while
+	// there are too few samples.
 	Usual Usual
 }
 
-// Usual holds medians of a stage that streams, over all targets.
+// Usual holds typical values of a stage that streams, over all targets: the
+// medians of the times and the mean length of an answer.
 type Usual struct {
 	FirstByte time.Duration
 	PerToken  time.Duration
-	Tokens    int // of a whole answer
+	Tokens    int // of a complete answer
 }
--- a/internal/admission/admitter.go
+++ b/internal/admission/admitter.go
@@ -17,35 +17,38 @@
 
 const (
 	defaultMaxInFlight = 2000
-	// lowestFill is the share of the cap that the lowest priority may fill;
-	// each higher one may fill a little more, the highest all.
-	lowestFill = 0.8
-	priorities = 10
-	// shareOfFree bounds an organisation's requests in flight, as a multiple of
-	// the places that are free: one organisation alone takes four fifths of
-	// the admitter, and gives way as others come. A fixed part kept for others
-	// would be too small when they are many, and wasted when they are few.
-	shareOfFree = 4
-	// refusalPause is the RetryAfter of a refusal by the cap.
-	refusalPause = 200 * time.Millisecond
+	// lowestPriorityFill is the base of the fraction of the cap that a priority
+	// may fill: the lowest priority may fill slightly more, each higher one more
+	// than that, and the highest the whole cap.
+	lowestPriorityFill = 0.8
+	priorities         = 10
+	// fairShareFactor bounds an organisation's requests in flight to this multiple
+	// of the free capacity: an organisation alone uses up to four fifths of the
+	// capacity, and less as others arrive. A fixed reservation for others would be
+	// too small if they are many, and wasted if they are few.
+	fairShareFactor = 4
+	// refusalRetryAfter is the RetryAfter of a refusal by the cap or by a
+	// concurrency limit.
+	refusalRetryAfter = 200 * time.Millisecond
 )
 
 var (
-	metricEntered  = metrics.Define("admission_entered_total", "requests", "Requests admitted to the instance.")
+	metricAdmitted = metrics.Define("admission_entered_total", "requests", "Requests admitted to the instance.")
 	metricRefused  = metrics.Define("admission_refused_total", "requests", "Requests refused at the entry, by cause.")
 	metricInFlight = metrics.Define("admission_in_flight", "requests", "Requests in flight at the instance.")
 	metricActive   = metrics.Define("admission_active_organisations", "organisations", "Organisations with requests in flight.")
 )
 
-// States of shedding.
+// States of load shedding.
 const (
-	shedNot int32 = iota
-	shedUntold
-	shedTold
+	notShedding int32 = iota
+	sheddingUnlogged
+	sheddingLogged
 )
 
-// shedOverRoom is the room at which shedding counts as over.
-const shedOverRoom = 0.5
+// sheddingEndHeadroom is the free fraction of the cap above which shedding has
+// ended.
+const sheddingEndHeadroom = 0.5
 
 // Causes of refusal, the labels of admission_refused_total.
 const (
@@ -57,147 +60,149 @@
 	causeConcurrency = "concurrency"
 )
 
-// AdmitterOptions are the parts of a admitter. Board and Clock are required.
+// AdmitterOptions configure an InstanceAdmitter. Board and Clock are required.
 type AdmitterOptions struct {
 	Board       *board.Board
 	Clock       clock.Clock
-	MaxInFlight int // 0: 2000
-	// MayServe is asked for each request, besides the board's row, which is
-	// refreshed by a period and so is out of date after a pause of the process.
-	// Nil: the row alone.
+	MaxInFlight int // cap on requests in flight; 0: 2000
+	// MayServe is called for each request, in addition to reading the board's row,
+	// which is refreshed periodically and therefore outdated after a pause of the
+	// process. If it is nil, only the row is used.
 	MayServe func() bool
 	Logger   *event.Logger
 	Metrics  *metrics.Registry // may be nil
 }
 
-// InstanceAdmitter implements Admitter: the instance's cap on requests in flight with
-// shedding by priority and fair share, and the organisations' limits.
+// InstanceAdmitter implements Admitter. It enforces the instance's cap on
+// requests in flight, with load shedding by priority and fair share, and the
+// limits of the organisations.
 type InstanceAdmitter struct {
 	options       AdmitterOptions
 	inFlight      atomic.Int64
 	active        atomic.Int64 // organisations with requests in flight
-	shedding      atomic.Int32 // one of the shed states
+	shedding      atomic.Int32 // one of the states of load shedding
 	organisations organisations
-	entered       *expvar.Int
+	admitted      *expvar.Int
 	refused       *expvar.Map
 }
 
-// NewAdmitter returns a admitter over the board.
+// NewAdmitter returns an admitter that reads the board.
 func NewAdmitter(o AdmitterOptions) *InstanceAdmitter {
 	defaults.Positive(&o.MaxInFlight, defaultMaxInFlight)
-	d := &InstanceAdmitter{
+	a := &InstanceAdmitter{
 		options:       o,
 		organisations: newOrganisations(),
-		entered:       o.Metrics.Counter(metricEntered),
+		admitted:      o.Metrics.Counter(metricAdmitted),
 		refused:       o.Metrics.Labelled(metricRefused),
 	}
-	o.Metrics.Func(metricInFlight, func() any { return d.InFlight() })
-	o.Metrics.Func(metricActive, func() any { return d.active.Load() })
-	return d
+	o.Metrics.Func(metricInFlight, func() any { return a.InFlight() })
+	o.Metrics.Func(metricActive, func() any { return a.active.Load() })
+	return a
 }
 
 // InFlight returns the number of requests in flight.
-func (d *InstanceAdmitter) InFlight() int { return int(d.inFlight.Load()) }
+func (a *InstanceAdmitter) InFlight() int { return int(a.inFlight.Load()) }
 
-// Room returns the free share of the cap, 0 to 1.
-func (d *InstanceAdmitter) Room() float64 {
-	return max(0, 1-float64(d.inFlight.Load())/float64(d.options.MaxInFlight))
+// Room returns the free fraction of the cap, 0 to 1.
+func (a *InstanceAdmitter) Room() float64 {
+	return max(0, 1-float64(a.inFlight.Load())/float64(a.options.MaxInFlight))
 }
 
-// Usage returns the demand and the requests in flight of every organisation
-// that asked lately, in no order. Demand counts refused requests too.
-func (d *InstanceAdmitter) Usage() []gossip.Usage {
-	return d.organisations.usage(d.options.Clock.Now())
+// Usage returns the demand and the requests in flight of every organisation with
+// recent requests, in no particular order. The demand includes refused requests.
+func (a *InstanceAdmitter) Usage() []gossip.Usage {
+	return a.organisations.usage(a.options.Clock.Now())
 }
 
-// Admit implements Admitter. A refusal costs two table look-ups and waits for
-// nothing.
-func (d *InstanceAdmitter) Admit(_ context.Context, entry Entry) (func(), error) {
-	now := d.options.Clock.Now()
-	self, _ := d.options.Board.Self.Get(board.SelfRow)
-	if !self.MayAdmit() || d.options.MayServe != nil && !d.options.MayServe() {
-		return nil, d.refuse(causeIsolated, errkind.Isolated, 0, "this instance cannot confirm its configuration")
+// Admit implements Admitter. A refusal costs two table look-ups and does not
+// wait for anything.
+func (a *InstanceAdmitter) Admit(_ context.Context, entry Entry) (func(), error) {
+	now := a.options.Clock.Now()
+	self, _ := a.options.Board.Self.Get(board.SelfRow)
+	if !self.MayAdmit() || a.options.MayServe != nil && !a.options.MayServe() {
+		return nil, a.refuse(causeIsolated, errkind.Isolated, 0, "this instance cannot confirm its configuration")
 	}
 	if !entry.Deadline.IsZero() && !entry.Deadline.After(now) {
-		return nil, d.refuse(causeDeadline, errkind.DeadlineUnreachable, 0, "the deadline has passed")
+		return nil, a.refuse(causeDeadline, errkind.DeadlineUnreachable, 0, "the deadline has passed")
 	}
-	limit, _ := d.options.Board.Limits.Get(entry.Organisation)
-	org := d.organisations.take(entry.Organisation)
-	if err := d.admit(org, entry, limit, now); err != nil {
+	limit, _ := a.options.Board.Limits.Get(entry.Organisation)
+	org := a.organisations.pin(entry.Organisation)
+	if err := a.admit(org, entry, limit, now); err != nil {
 		return nil, err
 	}
-	d.entered.Add(1)
-	d.noteShedding()
+	a.admitted.Add(1)
+	a.logShedding()
 	var left atomic.Bool
 	return func() {
 		if !left.Swap(true) {
-			d.leave(org)
+			a.release(org)
 		}
 	}, nil
 }
 
-// admit runs under the lock of the organisation's shard.
-func (d *InstanceAdmitter) admit(org *organisation, entry Entry, limit board.Limit, now time.Time) error {
+// admit applies the limits, under the lock of the organisation's shard.
+func (a *InstanceAdmitter) admit(org *organisation, entry Entry, limit board.Limit, now time.Time) error {
 	org.shard.mu.Lock()
 	defer org.shard.mu.Unlock()
-	org.users--
-	org.arrive(now)
+	org.pins--
+	org.countRequest(now)
 	if limit.Concurrent != 0 && org.inFlight >= limit.Concurrent {
-		return d.refuse(causeConcurrency, errkind.OrganisationLimit, refusalPause, "the organisation has its limit of requests in flight")
+		return a.refuse(causeConcurrency, errkind.OrganisationLimit, refusalRetryAfter, "the organisation has its limit of requests in flight")
 	}
-	if cause := d.reserve(org, entry.Priority); cause != "" {
-		return d.refuse(cause, errkind.Overloaded, refusalPause, "the instance has its limit of requests in flight")
+	if cause := a.reserve(org, entry.Priority); cause != "" {
+		return a.refuse(cause, errkind.Overloaded, refusalRetryAfter, "the instance has its limit of requests in flight")
 	}
 	if wait := org.takeToken(limit.RatePerSecond, now); wait > 0 {
-		d.inFlight.Add(-1)
-		return d.refuse(causeRate, errkind.OrganisationLimit, wait, "the organisation has used up its rate")
+		a.inFlight.Add(-1)
+		return a.refuse(causeRate, errkind.OrganisationLimit, wait, "the organisation has used up its rate")
 	}
 	if org.inFlight == 0 {
-		d.active.Add(1)
+		a.active.Add(1)
 	}
 	org.inFlight++
 	return nil
 }
 
-// reserve takes a place of the cap or returns the cause of the refusal.
-func (d *InstanceAdmitter) reserve(org *organisation, priority int) string {
-	roof := d.roof(priority)
+// reserve counts a request against the cap, or returns the cause of its refusal.
+func (a *InstanceAdmitter) reserve(org *organisation, priority int) string {
+	priorityCap := a.priorityCap(priority)
 	for {
-		taken := d.inFlight.Load()
-		if float64(taken) >= roof {
-			d.noteShed()
+		inFlight := a.inFlight.Load()
+		if float64(inFlight) >= priorityCap {
+			a.markShedding()
 			return causePriority
 		}
-		if float64(org.inFlight) >= shareOfFree*(roof-float64(taken)) {
-			d.noteShed()
+		if float64(org.inFlight) >= fairShareFactor*(priorityCap-float64(inFlight)) {
+			a.markShedding()
 			return causeFairShare
 		}
-		if d.inFlight.CompareAndSwap(taken, taken+1) {
+		if a.inFlight.CompareAndSwap(inFlight, inFlight+1) {
 			return ""
 		}
 	}
 }
 
-// roof is how many requests in flight a priority may meet and still enter.
-func (d *InstanceAdmitter) roof(priority int) float64 {
+// priorityCap returns the number of requests in flight from which on requests of
+// the priority are refused.
+func (a *InstanceAdmitter) priorityCap(priority int) float64 {
 	rank := min(max(priority, 0), priorities-1) + 1
-	fill := lowestFill + (1-lowestFill)*float64(rank)/priorities
-	return max(1, fill*float64(d.options.MaxInFlight))
+	fill := lowestPriorityFill + (1-lowestPriorityFill)*float64(rank)/priorities
+	return max(1, fill*float64(a.options.MaxInFlight))
 }
 
-func (d *InstanceAdmitter) leave(org *organisation) {
+func (a *InstanceAdmitter) release(org *organisation) {
 	org.shard.mu.Lock()
 	org.inFlight--
 	if org.inFlight == 0 {
-		d.active.Add(-1)
+		a.active.Add(-1)
 	}
 	org.shard.mu.Unlock()
-	d.inFlight.Add(-1)
-	d.noteShedding()
+	a.inFlight.Add(-1)
+	a.logShedding()
 }
 
-func (d *InstanceAdmitter) refuse(cause string, kind errkind.Kind, after time.Duration, text string) error {
-	d.refused.Add(cause, 1)
+func (a *InstanceAdmitter) refuse(cause string, kind errkind.Kind, after time.Duration, text string) error {
+	a.refused.Add(cause, 1)
 	err := errkind.New(kind, "%s", text)
 	if after > 0 {
 		err = errkind.WithRetryAfter(err, after)
@@ -205,19 +210,19 @@
 	return err
 }
 
-// noteShed marks that requests are being shed. The log is told once, by the
-// next noteShedding: this runs under a lock.
-func (d *InstanceAdmitter) noteShed() { d.shedding.CompareAndSwap(shedNot, shedUntold) }
+// markShedding records that requests are being shed. It is called under a lock,
+// so the next logShedding writes the log entry.
+func (a *InstanceAdmitter) markShedding() { a.shedding.CompareAndSwap(notShedding, sheddingUnlogged) }
 
-// noteShedding logs the begin of shedding and, once half of the cap is free,
-// its end.
-func (d *InstanceAdmitter) noteShedding() {
-	state := d.shedding.Load()
+// logShedding logs the start of shedding once, and its end once half of the cap
+// is free.
+func (a *InstanceAdmitter) logShedding() {
+	state := a.shedding.Load()
 	switch {
-	case state == shedNot:
-	case state == shedUntold && d.shedding.CompareAndSwap(shedUntold, shedTold):
-		d.options.Logger.Log(event.AdmissionShedding, "in_flight", d.InFlight(), "cap", d.options.MaxInFlight)
-	case state == shedTold && d.Room() > shedOverRoom && d.shedding.CompareAndSwap(shedTold, shedNot):
-		d.options.Logger.Log(event.AdmissionShedOver, "in_flight", d.InFlight())
+	case state == notShedding:
+	case state == sheddingUnlogged && a.shedding.CompareAndSwap(sheddingUnlogged, sheddingLogged):
+		a.options.Logger.Log(event.AdmissionShedding, "in_flight", a.InFlight(), "cap", a.options.MaxInFlight)
+	case state == sheddingLogged && a.Room() > sheddingEndHeadroom && a.shedding.CompareAndSwap(sheddingLogged, notShedding):
+		a.options.Logger.Log(event.AdmissionShedOver, "in_flight", a.InFlight())
 	}
 }
--- a/internal/admission/bench_test.go
+++ b/internal/admission/bench_test.go
@@ -56,8 +56,8 @@
 	}
 }
 
-// BenchmarkAdmitter measures Enter and leave, with a limit for each organisation,
-// and the memory of the organisations.
+// BenchmarkAdmitter measures Admit and leave, with a limit for each organisation,
+// and the memory per organisation.
 func BenchmarkAdmitter(b *testing.B) {
 	for _, n := range []int{100, 1000, 5000, 19000} {
 		b.Run(fmt.Sprintf("organisations=%d", n), func(b *testing.B) {
@@ -69,13 +69,13 @@
 			}
 			before := heapBytes()
 			for _, e := range entries {
-				enterLeave(b, d, e)
+				admitAndRelease(b, d, e)
 			}
 			grown := heapBytes() - before
 			i := 0
 			b.ReportAllocs()
 			for b.Loop() {
-				enterLeave(b, d, entries[i%n])
+				admitAndRelease(b, d, entries[i%n])
 				i++
 			}
 			b.ReportMetric(float64(grown)/float64(n), "B/organisation")
@@ -83,7 +83,7 @@
 	}
 }
 
-func enterLeave(b *testing.B, d *InstanceAdmitter, e Entry) {
+func admitAndRelease(b *testing.B, d *InstanceAdmitter, e Entry) {
 	leave, err := d.Admit(context.Background(), e)
 	if err != nil {
 		b.Fatal(err)
@@ -91,14 +91,14 @@
 	leave()
 }
 
-// BenchmarkAdmitterRefusal measures what a refused request costs.
+// BenchmarkAdmitterRefusal measures the cost of a refused request.
 func BenchmarkAdmitterRefusal(b *testing.B) {
 	d, bd := newTestAdmitter(1000)
 	bd.Limits.Put("a", board.Limit{Concurrent: -1})
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, err := d.Admit(context.Background(), Entry{Organisation: "a"}); err == nil {
-			b.Fatal("entered")
+			b.Fatal("admitted over the limit")
 		}
 	}
 }
--- a/internal/admission/budget.go
+++ b/internal/admission/budget.go
@@ -3,89 +3,92 @@
 import "time"
 
 const (
-	budgetSlices = 10
-	// hedgePart is the part of the budget that hedges may use.
-	hedgePart = 0.5
+	budgetBuckets = 10
+	// hedgeShare is the share of the budget that hedges may use.
+	hedgeShare = 0.5
 )
 
-// repeatBudget grants repeats as a share of the first attempts of a sliding
-// window. Without it, a slow service gets twice or thrice its load just when
-// it can't bear it: the sign would be repeats that rise with failures.
-type repeatBudget struct {
-	slices [budgetSlices]budgetSlice
-	at     int64 // number of the newest slice
+// retryBudget grants retries, resumes and hedges as a share of the first attempts
+// in a sliding window. Without it, the number of retries rises with the number of
+// failures, and a slow service gets two or three times its load just when it is
+// overloaded.
+type retryBudget struct {
+	buckets [budgetBuckets]budgetBucket
+	newest  int64 // number of the newest bucket
 }
 
-// budgetSlice counts hedges in repeats too.
-type budgetSlice struct{ first, repeats, hedges, faults int }
+// budgetBucket counts the attempts of one part of the window. retries includes
+// the hedges.
+type budgetBucket struct{ first, retries, hedges, faultRetries int }
 
-func (b *repeatBudget) advance(now time.Time, window time.Duration) {
-	number := now.UnixNano() / max(int64(window)/budgetSlices, 1)
-	if number-b.at >= budgetSlices {
-		b.slices = [budgetSlices]budgetSlice{}
-		b.at = number
+func (b *retryBudget) advance(now time.Time, window time.Duration) {
+	number := now.UnixNano() / max(int64(window)/budgetBuckets, 1)
+	if number-b.newest >= budgetBuckets {
+		b.buckets = [budgetBuckets]budgetBucket{}
+		b.newest = number
 	}
-	for b.at < number {
-		b.at++
-		b.slices[b.at%budgetSlices] = budgetSlice{}
+	for b.newest < number {
+		b.newest++
+		b.buckets[b.newest%budgetBuckets] = budgetBucket{}
 	}
 }
 
-func (b *repeatBudget) current() *budgetSlice {
-	return &b.slices[b.at%budgetSlices]
+func (b *retryBudget) current() *budgetBucket {
+	return &b.buckets[b.newest%budgetBuckets]
 }
 
-func (b *repeatBudget) totals() (total budgetSlice) {
-	for _, s := range b.slices {
+func (b *retryBudget) totals() (total budgetBucket) {
+	for _, s := range b.buckets {
 		total.first += s.first
-		total.repeats += s.repeats
+		total.retries += s.retries
 		total.hedges += s.hedges
-		total.faults += s.faults
+		total.faultRetries += s.faultRetries
 	}
 	return total
 }
 
-func (b *repeatBudget) countFirst(now time.Time, l *GateLimits) {
-	b.advance(now, l.RepeatWindow)
+func (b *retryBudget) countFirst(now time.Time, l *GateLimits) {
+	b.advance(now, l.RetryWindow)
 	b.current().first++
 }
 
-// takeRepeat counts a repeat if the budget has room for it.
-func (b *repeatBudget) takeRepeat(now time.Time, l *GateLimits) bool {
-	b.advance(now, l.RepeatWindow)
+// takeRetry counts a retry if the budget allows it, and reports whether it does.
+func (b *retryBudget) takeRetry(now time.Time, l *GateLimits) bool {
+	b.advance(now, l.RetryWindow)
 	total := b.totals()
-	if float64(total.repeats+1) > max(float64(l.RepeatMin), l.RepeatShare*float64(total.first)) {
+	if float64(total.retries+1) > max(float64(l.RetryMin), l.RepeatShare*float64(total.first)) {
 		return false
 	}
-	b.current().repeats++
+	b.current().retries++
 	return true
 }
 
-// takeHedge counts a hedge, of which the budget holds half at most. When
-// everything is a little slow, hedges would otherwise use up all of it, and a
-// call whose reply was lost could not be made again: it would wait out its
-// deadline.
-func (b *repeatBudget) takeHedge(now time.Time, l *GateLimits) bool {
-	b.advance(now, l.RepeatWindow)
+// takeHedge counts a hedge, for which at most half of the budget may be used.
+// When everything is slightly slow, hedges would otherwise use up the whole
+// budget, and a call whose reply was lost could not be retried: it would wait
+// until its deadline.
+func (b *retryBudget) takeHedge(now time.Time, l *GateLimits) bool {
+	b.advance(now, l.RetryWindow)
 	total := b.totals()
-	if float64(total.hedges+1) > hedgePart*max(float64(l.RepeatMin), l.RepeatShare*float64(total.first)) || !b.takeRepeat(now, l) {
+	if float64(total.hedges+1) > hedgeShare*max(float64(l.RetryMin), l.RepeatShare*float64(total.first)) || !b.takeRetry(now, l) {
 		return false
 	}
 	b.current().hedges++
 	return true
 }
 
-// takeFault counts a repeat after a fault that is not load. When the
-// connections of half a service are lost at once, as many calls have to be made
-// again, once each; that does not grow with the load as repeats after timeouts
-// do, so it must not use up their budget. It is bounded all the same: a target
-// that breaks every call would double the load.
-func (b *repeatBudget) takeFault(now time.Time, l *GateLimits) bool {
-	b.advance(now, l.RepeatWindow)
+// takeFaultRetry counts a retry after a failure that is not a sign of load. When
+// the connections of half a service are lost at once, all calls on them have to
+// be retried, once each. The number of these retries does not grow with the load
+// as that of retries after timeouts does, so they must not use up the same
+// budget. They are bounded too: a target that breaks every call would double the
+// load.
+func (b *retryBudget) takeFaultRetry(now time.Time, l *GateLimits) bool {
+	b.advance(now, l.RetryWindow)
 	total := b.totals()
-	if float64(total.faults+1) > max(float64(l.FaultMin), l.FaultShare*float64(total.first)) {
+	if float64(total.faultRetries+1) > max(float64(l.FaultRetryMin), l.FaultRetryShare*float64(total.first)) {
 		return false
 	}
-	b.current().faults++
+	b.current().faultRetries++
 	return true
 }
--- a/internal/admission/distribution.go
+++ b/internal/admission/distribution.go
@@ -11,13 +11,14 @@
 	sketchBins     = 512  // covers 1 us to 13 min at that accuracy
 )
 
-// distribution keeps durations of a sliding window. Two sketches overlap by
-// half a window: each sample goes into both, the older one answers, and at
-// each half window it is dropped and the younger takes its place. With few
-// samples it is kept longer, so that a quiet target keeps its distribution.
+// distribution estimates quantiles of durations over a sliding window. It keeps
+// two sketches that overlap by half a window: each sample is added to both,
+// quantiles are read from current, and every half window next replaces current.
+// With few samples the replacement is delayed, so that a target with little
+// traffic keeps its distribution.
 type distribution struct {
-	old, young *ddsketch.DDSketch
-	rotated    time.Time
+	current, next *ddsketch.DDSketch
+	rotatedAt     time.Time
 }
 
 func newSketch() *ddsketch.DDSketch {
@@ -29,38 +30,38 @@
 }
 
 func (d *distribution) add(v time.Duration, now time.Time, window time.Duration, minSamples int) {
-	if d.old == nil {
-		d.old, d.young, d.rotated = newSketch(), newSketch(), now
+	if d.current == nil {
+		d.current, d.next, d.rotatedAt = newSketch(), newSketch(), now
 	}
-	if now.Sub(d.rotated) >= window/2 && d.young.GetCount() >= float64(minSamples) {
-		d.old, d.young, d.rotated = d.young, newSketch(), now
+	if now.Sub(d.rotatedAt) >= window/2 && d.next.GetCount() >= float64(minSamples) {
+		d.current, d.next, d.rotatedAt = d.next, newSketch(), now
 	}
 	seconds := max(v, time.Microsecond).Seconds()
-	// Add fails only for values outside what the mapping can index.
-	_ = d.old.Add(seconds)
-	_ = d.young.Add(seconds)
+	// Add fails only for values outside the range of the sketch.
+	_ = d.current.Add(seconds)
+	_ = d.next.Add(seconds)
 }
 
 // quantile returns false with fewer than minSamples samples.
 func (d *distribution) quantile(q float64, minSamples int) (time.Duration, bool) {
-	if d == nil || d.old == nil || d.old.GetCount() < float64(minSamples) {
+	if d == nil || d.current == nil || d.current.GetCount() < float64(minSamples) {
 		return 0, false
 	}
-	v, err := d.old.GetValueAtQuantile(q)
+	v, err := d.current.GetValueAtQuantile(q)
 	if err != nil {
 		return 0, false
 	}
 	return time.Duration(v * float64(time.Second)), true
 }
 
-// silences are the distributions of how long calls bring nothing. Failed calls
-// count too.
-type silences struct {
+// waitTimes holds the distributions of how long calls wait for data. Failed
+// calls are included.
+type waitTimes struct {
 	firstByte distribution // until the first byte
 	gap       distribution // longest wait between two frames
 }
 
-func (s *silences) addSilences(r Result, now time.Time, l *GateLimits) {
+func (s *waitTimes) addWaitTimes(r Result, now time.Time, l *GateLimits) {
 	if r.FirstByte > 0 {
 		s.firstByte.add(r.FirstByte, now, l.Window, l.MinSamples)
 	}
--- a/internal/admission/ejection.go
+++ b/internal/admission/ejection.go
@@ -3,31 +3,32 @@
 import "time"
 
 const (
-	slownessWeight = 0.2 // of a new sample in the moving mean
-	slownessClip   = 20  // one hung call must not outweigh all others for long
-	slownessMin    = 10  // samples before slowness ejects
-	// behindLimit of signs without a call at the usual pace between them ejects a
-	// target. A slow pace is the surer sign: a call that was late to begin may
-	// have had a long prompt.
-	behindLimit  = 4
-	behindPace   = 2
-	behindStart  = 1
-	maxDoublings = 6
+	slownessWeight     = 0.2 // of a new sample in the moving mean
+	maxSlownessSample  = 20  // keeps one hung call from outweighing all others for long
+	minSlownessSamples = 10  // samples needed before slowness ejects
+	// behindScoreLimit is the total score of slow calls, without a call at the
+	// usual pace between them, that ejects a target. A slow pace has a higher
+	// score since it is more reliable: a call with a late first byte may have had
+	// a long prompt.
+	behindScoreLimit = 4
+	slowPaceScore    = 2
+	lateStartScore   = 1
+	maxDoublings     = 6 // of the ejection time
 )
 
-// ejection is the state of a target that may be a straggler.
+// ejection is the outlier detection state of a target.
 type ejection struct {
-	failures  int     // in a row
-	slowness  float64 // moving mean of duration over the service's median
-	samples   int
-	behind    int       // signs of slowness since the last call at the usual pace
-	until     time.Time // left out until then
-	probation bool      // after that, one call at a time until one is well
-	times     int       // ejections in a row, for the back-off
-	wellSince time.Time
+	failures     int     // consecutive
+	slowness     float64 // moving mean of the duration divided by the service's median
+	samples      int
+	behindScore  int       // total score of slow calls since the last call at the usual pace
+	ejectedUntil time.Time // zero if never ejected
+	probing      bool      // after the ejection, one call at a time until one succeeds
+	ejections    int       // consecutive, for the backoff
+	healthySince time.Time
 }
 
-// observe takes in a result and reports whether the target stands out.
+// observe records a result and reports whether the target is to be ejected.
 // typical is the stage's median over the service, 0 if unknown.
 func (e *ejection) observe(r Result, typical time.Duration, now time.Time, l *GateLimits) bool {
 	if r.Refused || r.Connection {
@@ -51,22 +52,24 @@
 	return false
 }
 
-// observePace takes in how many times the usual time a call under way needs, and
-// reports whether the target stands out. sign is what it counts. Without it a straggler would be
-// found only when the streams on it end, eight times later than on others, and
-// would get new ones meanwhile.
-func (e *ejection) observePace(ratio float64, sign int, l *GateLimits) bool {
+// observePace records the ratio of a call's time to the usual time, and reports
+// whether the target is to be ejected. score is what a slow call adds to
+// behindScore. Without observePace, a straggler would be found only when the
+// streams on it end, eight times later than on others, and would get new streams
+// meanwhile.
+func (e *ejection) observePace(ratio float64, score int, l *GateLimits) bool {
 	if ratio <= l.EjectSlowness {
-		e.behind = 0
+		e.behindScore = 0
 		return false
 	}
-	e.behind += sign
-	return e.probation || e.behind >= behindLimit
+	e.behindScore += score
+	return e.probing || e.behindScore >= behindScoreLimit
 }
 
-// allowedFailures is one on probation: a probe that fails ejects again.
+// allowedFailures returns the number of consecutive failures that ejects the
+// target. It is one while probing: a probe that fails ejects the target again.
 func (e *ejection) allowedFailures(l *GateLimits) int {
-	if e.probation {
+	if e.probing {
 		return 1
 	}
 	return l.EjectFailures
@@ -76,7 +79,7 @@
 	if typical <= 0 {
 		return
 	}
-	ratio := min(float64(d)/float64(typical), slownessClip)
+	ratio := min(float64(d)/float64(typical), maxSlownessSample)
 	if e.samples == 0 {
 		e.slowness = ratio
 	}
@@ -85,8 +88,8 @@
 }
 
 func (e *ejection) slow(l *GateLimits) bool {
-	needed := slownessMin
-	if e.probation {
+	needed := minSlownessSamples
+	if e.probing {
 		needed = 1
 	}
 	return e.samples >= needed && e.slowness > l.EjectSlowness
@@ -96,33 +99,35 @@
 	if !r.OK {
 		return
 	}
-	if e.probation {
-		e.probation = false
-		e.wellSince = now
+	if e.probing {
+		e.probing = false
+		e.healthySince = now
 	}
-	if e.times > 0 && now.Sub(e.wellSince) > l.EjectMax {
-		e.times = 0
+	if e.ejections > 0 && now.Sub(e.healthySince) > l.EjectMax {
+		e.ejections = 0
 	}
 }
 
-// eject leaves the target out, twice as long as the last time.
+// eject ejects the target and returns for how long. The time doubles with each
+// consecutive ejection.
 func (e *ejection) eject(now time.Time, l *GateLimits) time.Duration {
-	d := min(l.EjectBase<<min(e.times, maxDoublings), l.EjectMax)
-	e.times++
-	e.until = now.Add(d)
-	e.probation = true
-	e.failures, e.samples, e.slowness, e.behind = 0, 0, 0, 0
+	d := min(l.EjectBase<<min(e.ejections, maxDoublings), l.EjectMax)
+	e.ejections++
+	e.ejectedUntil = now.Add(d)
+	e.probing = true
+	e.failures, e.samples, e.slowness, e.behindScore = 0, 0, 0, 0
 	return d
 }
 
-// out reports whether the target gets no call: ejected, or on probation with
-// its one probe under way.
-func (e *ejection) out(now time.Time, inFlight int) bool {
-	if now.Before(e.until) {
+// excluded reports whether the target gets no calls: it is ejected, or probing
+// with its one probe in flight.
+func (e *ejection) excluded(now time.Time, inFlight int) bool {
+	if now.Before(e.ejectedUntil) {
 		return true
 	}
-	return e.probation && inFlight > 0
+	return e.probing && inFlight > 0
 }
 
-// ejected reports whether the target counts against the bound.
-func (e *ejection) ejected(now time.Time) bool { return now.Before(e.until) }
+// ejected reports whether the target is ejected now and counts against the bound
+// on ejected targets.
+func (e *ejection) ejected(now time.Time) bool { return now.Before(e.ejectedUntil) }
--- a/internal/admission/ejection_test.go
+++ b/internal/admission/ejection_test.go
@@ -10,8 +10,8 @@
 	"lynxhill.example/lynxhill/internal/errkind"
 )
 
-// serve makes n attempts one after another and returns how many each target
-// got. slow and failing name targets.
+// serve makes n attempts one after another and returns the number of calls of
+// each target. slow and failing contain target ids.
 func serve(t *testing.T, r *rig, n int, slow, failing map[string]bool) map[string]int {
 	t.Helper()
 	got := make(map[string]int)
@@ -29,8 +29,9 @@
 	return got
 }
 
-// Symptom: one slow target of twelve holds a twelfth of all requests ten times
-// as long. Cause: nothing leaves it out, since it answers every call.
+// Guards against one slow target of twelve that keeps a twelfth of all requests
+// ten times as long. It comes about when a target is not ejected because it
+// answers every call.
 func TestStragglerIsEjectedAndComesBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(12, GateLimits{})
@@ -40,7 +41,7 @@
 		r.gate.service("pool").policy = "round_robin"
 		serve(t, r, 300, slow, none)
 		state := r.gate.service("pool").targets["t003"]
-		if state.ejection.times == 0 {
+		if state.ejection.ejections == 0 {
 			t.Fatal("the straggler was not ejected")
 		}
 		if got := serve(t, r, 100, slow, none); got["t003"] > 2 {
@@ -49,13 +50,13 @@
 		time.Sleep(6 * time.Minute)
 		serve(t, r, 200, none, none)
 		if got := serve(t, r, 120, none, none); got["t003"] != 10 {
-			t.Errorf("a target that is well again got %d of 120 calls, want its tenth", got["t003"])
+			t.Errorf("a recovered target got %d of 120 calls, want its tenth", got["t003"])
 		}
 	})
 }
 
-// Symptom: with the network of the instance broken, every target is ejected
-// and nothing is served. Cause: no bound on the ejections.
+// Guards against ejecting all targets, so that no request is served, when the
+// instance's own network is broken. It comes about when ejections have no bound.
 func TestEjectionIsBounded(t *testing.T) {
 	for _, n := range []int{1, 2, 4, 12} {
 		t.Run(fmt.Sprintf("targets=%d", n), func(t *testing.T) {
@@ -81,7 +82,8 @@
 	}
 }
 
-// Symptom: a target under probe gets a burst of calls and fails them all.
+// Guards against a target that gets a burst of calls while it is being probed,
+// and fails them all.
 func TestProbesAreSingleAndBackOffGrows(t *testing.T) {
 	l := DefaultGateLimits()
 	var e ejection
@@ -94,8 +96,8 @@
 		}
 		last = d
 		now = now.Add(d)
-		if e.out(now, 0) || !e.out(now, 1) {
-			t.Fatal("after the ejection one probe at a time is due")
+		if e.excluded(now, 0) || !e.excluded(now, 1) {
+			t.Fatal("after the ejection one probe at a time must be allowed")
 		}
 		if !e.observe(Result{}, time.Millisecond, now, &l) {
 			t.Fatal("a failed probe must eject again")
@@ -106,9 +108,10 @@
 	}
 }
 
-// Symptom: a target that hangs is never found, since the hedge wins each time
-// and its attempts are cancelled. Cause: cancelled attempts count for nothing.
-func TestHedgedStragglerIsFound(t *testing.T) {
+// Guards against a hanging target that is never ejected. It comes about when
+// cancelled attempts are ignored: a hedge wins every time, and all attempts on
+// the target are cancelled.
+func TestCancelledAttemptsEjectAHangingTarget(t *testing.T) {
 	l := DefaultGateLimits()
 	var e ejection
 	found := false
@@ -150,11 +153,11 @@
 			}
 		}
 		if repeats < 95 || repeats > 105 {
-			t.Errorf("%d repeats beside 1000 first attempts, want a tenth", repeats)
+			t.Errorf("%d retries for 1000 first attempts, want a tenth", repeats)
 		}
 		time.Sleep(20 * time.Second)
 		if !try(true) {
-			t.Error("no repeat in a quiet service: a few must always be allowed")
+			t.Error("no retry granted without recent first attempts: RetryMin must always be allowed")
 		}
 	})
 }
@@ -166,7 +169,7 @@
 		first := acquire(t, r.gate, w)
 		l := DefaultGateLimits()
 		if got := r.gate.Timeouts(first.Choice(), w.Query); got != (Timeouts{FirstByte: l.FirstByteCeil, Progress: l.ProgressCeil}) {
-			t.Errorf("with nothing measured: %+v, want the ceilings and no hedge", got)
+			t.Errorf("without measurements: %+v, want the ceilings and no hedge", got)
 		}
 		first.Done(Result{OK: true, Duration: time.Second, FirstByte: 400 * time.Millisecond, Gap: 500 * time.Millisecond})
 		for range 200 {
@@ -176,7 +179,7 @@
 		got := r.gate.Timeouts(first.Choice(), w.Query)
 		near := func(d, want time.Duration) bool { return d > want*95/100 && d < want*105/100 }
 		if !near(got.FirstByte, 1200*time.Millisecond) || !near(got.Progress, 1500*time.Millisecond) || !near(got.HedgeAt, 400*time.Millisecond) {
-			t.Errorf("timeouts %+v, want thrice the measured times and a hedge at the usual first byte", got)
+			t.Errorf("timeouts %+v, want three times the measured times and a hedge at the measured time to first byte", got)
 		}
 		w.Query.Stage.Idempotent = false
 		if got = r.gate.Timeouts(first.Choice(), w.Query); got.HedgeAt != 0 {
@@ -188,8 +191,8 @@
 	})
 }
 
-// Symptom: a straggler gets new streams for as long as the first ones on it
-// last. Cause: it is judged by calls that have ended.
+// Guards against a straggler that gets new streams until the first ones on it
+// end. It comes about when a target is judged by ended calls only.
 func TestStragglerIsEjectedByPaceOfOpenStreams(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(12, GateLimits{})
@@ -203,17 +206,17 @@
 		state := func(s Slot) *ejection { return &s.(*slot).state.ejection }
 		first.Pace(2 * usual)
 		first.Pace(8 * usual)
-		if state(first).times != 0 {
+		if state(first).ejections != 0 {
 			t.Error("one slow stream ejected its target")
 		}
 		first.Pace(8 * usual)
-		if state(first).times != 1 {
+		if state(first).ejections != 1 {
 			t.Error("the straggler was not ejected while its streams are open")
 		}
 		second.Pace(8 * usual)
 		second.Pace(usual)
 		second.Pace(8 * usual)
-		if state(second).times != 0 {
+		if state(second).ejections != 0 {
 			t.Error("a target with a stream at the usual pace in between was ejected")
 		}
 	})
--- a/internal/admission/news.go
+++ b/internal/admission/eventlog.go
@@ -6,14 +6,14 @@
 	"lynxhill.example/lynxhill/internal/event"
 )
 
-type newsKind int
+type logKind int
 
-const newsEjected newsKind = iota
+const logEjected logKind = iota
 
-// news is something to log that happened under a service's lock; it is
-// written once the lock is free.
-type news struct {
-	kind     newsKind
+// logEntry is an event that happened under a service's lock and is logged once
+// the lock is released.
+type logEntry struct {
+	kind     logKind
 	target   string
 	service  string
 	failures int
@@ -21,9 +21,9 @@
 	duration time.Duration
 }
 
-func (g *ServiceGate) tell(told []news) {
-	for _, n := range told {
-		if n.kind == newsEjected {
+func (g *ServiceGate) writeLog(entries []logEntry) {
+	for _, n := range entries {
+		if n.kind == logEjected {
 			g.options.Logger.Log(event.AdmissionTargetEjected, "target", n.target, "service", n.service,
 				"failures", n.failures, "slowness", n.slowness, "for", n.duration)
 		}
--- a/internal/admission/fairness_test.go
+++ b/internal/admission/fairness_test.go
@@ -12,21 +12,21 @@
 	"lynxhill.example/lynxhill/internal/board"
 )
 
-// crowdTrial drives admitter and gate with one large organisation and several
-// small ones in virtual time.
-type crowdTrial struct {
-	largeTimes float64 // the large one's requests, as a multiple of its share
-	oneQueue   bool    // all requests under one name: what it is without fairness
+// fairnessTrial sends the requests of one large organisation and several small
+// ones through admitter and gate in virtual time.
+type fairnessTrial struct {
+	largeFactor float64 // the large organisation's requests, as a multiple of its fair share
+	sharedName  bool    // all requests under one organisation, as if there were no fairness
 }
 
 const (
-	crowdSmall    = 9 // small organisations; with the large one ten equal shares
-	crowdTargets  = 4
-	crowdSlots    = 5
-	crowdService  = 100 * time.Millisecond
-	crowdDeadline = 600 * time.Millisecond
-	crowdRun      = 20 * time.Second
-	crowdFill     = 0.8 // of the capacity, when everybody takes its share
+	trialSmall    = 9 // small organisations; with the large one there are ten equal shares
+	trialTargets  = 4
+	trialSlots    = 5
+	trialService  = 100 * time.Millisecond
+	trialDeadline = 600 * time.Millisecond
+	trialRun      = 20 * time.Second
+	trialFill     = 0.8 // of the capacity, when each organisation sends its fair share
 )
 
 type attainment struct {
@@ -44,8 +44,8 @@
 	}
 }
 
-// share returns the attainment of the small organisations, the worst of them
-// and the large one's.
+// share returns the fraction of requests answered within their deadline, for all
+// small organisations together, for the worst of them and for the large one.
 func (a *attainment) share() (small, worst, large float64) {
 	worst = 1
 	var sent, met int
@@ -60,43 +60,43 @@
 	return float64(met) / float64(sent), worst, float64(a.met["large"]) / float64(a.sent["large"])
 }
 
-func (tr crowdTrial) run(t *testing.T) (small, worst, large float64) {
+func (tr fairnessTrial) run(t *testing.T) (small, worst, large float64) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(crowdTargets, GateLimits{StartLimit: crowdSlots, MaxLimit: crowdSlots, Overcommit: 1})
-		admitter, _ := newTestAdmitter(4 * crowdTargets * crowdSlots)
+		r := newRig(trialTargets, GateLimits{StartLimit: trialSlots, MaxLimit: trialSlots, Overcommit: 1})
+		admitter, _ := newTestAdmitter(4 * trialTargets * trialSlots)
 		a := &attainment{sent: make(map[string]int), met: make(map[string]int)}
-		capacity := crowdTargets * crowdSlots / crowdService.Seconds()
-		each := crowdFill * capacity / (crowdSmall + 1)
+		capacity := trialTargets * trialSlots / trialService.Seconds()
+		each := trialFill * capacity / (trialSmall + 1)
 		var group sync.WaitGroup
-		group.Go(func() { tr.send(&group, r, admitter, a, "large", each*tr.largeTimes, 100) })
-		for i := range crowdSmall {
+		group.Go(func() { tr.send(&group, r, admitter, a, "large", each*tr.largeFactor, 100) })
+		for i := range trialSmall {
 			group.Go(func() { tr.send(&group, r, admitter, a, fmt.Sprintf("small-%d", i), each, uint64(i)) })
 		}
 		group.Wait()
 		small, worst, large = a.share()
 		if r.gate.InFlight() != 0 || r.gate.Waiting() != 0 || admitter.InFlight() != 0 {
-			t.Errorf("left over: %d slots, %d waiters, %d requests", r.gate.InFlight(), r.gate.Waiting(), admitter.InFlight())
+			t.Errorf("not released at the end: %d slots, %d waiters, %d requests", r.gate.InFlight(), r.gate.Waiting(), admitter.InFlight())
 		}
 	})
 	return small, worst, large
 }
 
-func (tr crowdTrial) send(group *sync.WaitGroup, r *rig, admitter *InstanceAdmitter, a *attainment, organisation string, rate float64, seed uint64) {
+func (tr fairnessTrial) send(group *sync.WaitGroup, r *rig, admitter *InstanceAdmitter, a *attainment, organisation string, rate float64, seed uint64) {
 	source := rand.New(rand.NewPCG(seed, 9))
 	began := time.Now()
-	for time.Since(began) < crowdRun {
+	for time.Since(began) < trialRun {
 		time.Sleep(time.Duration(source.ExpFloat64() / rate * float64(time.Second)))
-		service := time.Duration((0.5 + source.Float64()) * float64(crowdService))
+		service := time.Duration((0.5 + source.Float64()) * float64(trialService))
 		group.Go(func() { a.count(organisation, tr.request(r, admitter, organisation, service)) })
 	}
 }
 
-// request returns whether the request was answered within its deadline.
-func (tr crowdTrial) request(r *rig, admitter *InstanceAdmitter, organisation string, service time.Duration) bool {
-	if tr.oneQueue {
+// request reports whether the request was answered within its deadline.
+func (tr fairnessTrial) request(r *rig, admitter *InstanceAdmitter, organisation string, service time.Duration) bool {
+	if tr.sharedName {
 		organisation = "all"
 	}
-	deadline := time.Now().Add(crowdDeadline)
+	deadline := time.Now().Add(trialDeadline)
 	leave, err := admitter.Admit(context.Background(), Entry{Organisation: organisation, Priority: 5, Deadline: deadline})
 	if err != nil {
 		return false
@@ -111,25 +111,25 @@
 	return !time.Now().After(deadline)
 }
 
-// Symptom: the small organisations miss their deadlines as soon as a large one
-// sends ten times its share. Cause: all wait in one queue, or the large one
-// holds all places of the instance.
+// Guards against small organisations that miss their deadlines as soon as a large
+// one sends ten times its share. It comes about when all requests wait in one
+// queue, or the large organisation uses up the whole cap of the instance.
 func TestLargeOrganisationDoesNotMoveSmallOnes(t *testing.T) {
-	before, worstBefore, _ := crowdTrial{largeTimes: 1}.run(t)
-	beside, worstBeside, large := crowdTrial{largeTimes: 10}.run(t)
-	unfair, _, _ := crowdTrial{largeTimes: 10, oneQueue: true}.run(t)
+	before, worstBefore, _ := fairnessTrial{largeFactor: 1}.run(t)
+	beside, worstBeside, large := fairnessTrial{largeFactor: 10}.run(t)
+	unfair, _, _ := fairnessTrial{largeFactor: 10, sharedName: true}.run(t)
 	t.Logf("small organisations' attainment: %.4f (worst %.4f) with a large one at its share, %.4f (worst %.4f) at ten times, large %.4f; %.4f without fairness",
 		before, worstBefore, beside, worstBeside, large, unfair)
 	if before < 0.999 || beside < before-0.001 || worstBeside < 0.995 {
 		t.Errorf("attainment of the small organisations fell from %.4f to %.4f (worst %.4f)", before, beside, worstBeside)
 	}
 	if unfair > beside-0.1 {
-		t.Errorf("without fairness %.4f: the trial does not load the service enough to show anything", unfair)
+		t.Errorf("attainment without fairness is %.4f: the trial does not overload the service enough to show the effect of fairness", unfair)
 	}
 }
 
-// Symptom: with a full queue, everybody is refused, also those who wait for
-// nothing else. Cause: the organisation that filled it holds all its places.
+// Guards against a full queue that refuses the requests of every organisation. It
+// comes about when the organisation that filled the queue keeps all of it.
 func TestFullQueueMakesRoomForOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(1, GateLimits{StartLimit: 1, MaxLimit: 1, Queue: 10})
@@ -162,8 +162,8 @@
 	})
 }
 
-// Symptom: calls go to a target after it said that it leaves. The assertion
-// reads the board itself, so that it also sees an index that is out of date.
+// Guards against calls to a target that has reported that it is leaving. The
+// assertion reads the board itself, so that it also detects an outdated index.
 func TestNoDispatchToLeaving(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(2, GateLimits{})
@@ -189,7 +189,7 @@
 		service.grant(&want, stale)
 		service.unlock()
 		if v := r.collector.Violations(); len(v) != 1 {
-			t.Errorf("a grant of a leaving target made %d violations, want 1", len(v))
+			t.Errorf("a slot granted on a leaving target gave %d violations, want 1", len(v))
 		}
 	})
 }
--- a/internal/admission/gate.go
+++ b/internal/admission/gate.go
@@ -29,7 +29,7 @@
 	granted, queueFull, unreachable, budgetRefusals, ejections, ejectionsHeld *expvar.Int
 }
 
-// ServiceGate implements Gate with one shard a service.
+// ServiceGate implements Gate with one shard per service.
 type ServiceGate struct {
 	options GateOptions
 	chooser *routing.Chooser
@@ -41,7 +41,7 @@
 	policy   routing.Policy
 }
 
-// NewGate returns a gate over the board.
+// NewGate returns a gate that reads the board.
 func NewGate(o GateOptions) *ServiceGate {
 	limits := o.Limits.WithDefaults()
 	if o.Policy == "" {
@@ -72,8 +72,8 @@
 	return g
 }
 
-// ApplyConfig puts other constants and another policy in force. Calls in
-// flight and waiters stay.
+// ApplyConfig replaces the limits and the policy. Calls in flight and waiters
+// are kept.
 func (g *ServiceGate) ApplyConfig(policy routing.Policy, limits GateLimits) error {
 	limits = limits.WithDefaults()
 	if err := limits.Validate(); err != nil {
@@ -86,21 +86,22 @@
 	g.mu.Lock()
 	g.limits, g.policy = &limits, policy
 	g.mu.Unlock()
-	for _, s := range g.all() {
+	for _, s := range g.allServices() {
 		s.lock(g.options.Clock)
 		s.limits, s.policy = &limits, policy
-		s.pump()
+		s.dispatchWaiting()
 		s.unlock()
 	}
 	return nil
 }
 
-// Acquire implements Gate. The providers are tried in the organisation's
-// order; the next one only when one has no target at all for the call, since
-// going over when it is busy would undo the operator's weights.
+// Acquire implements Gate. It tries the providers in the organisation's order,
+// and goes on to the next only if a provider has no target at all for the call:
+// falling back from a provider that is only busy would defeat the operator's
+// weights.
 func (g *ServiceGate) Acquire(ctx context.Context, want Want) (Slot, error) {
 	if err := ctx.Err(); err != nil {
-		return nil, ended(err)
+		return nil, waitError(err)
 	}
 	query := &want.Query
 	err := noTarget(query.Stage.Name)
@@ -111,7 +112,7 @@
 		var s *slot
 		s, err = g.acquire(ctx, &want, g.service(provider.Service), provider)
 		if err == nil {
-			return g.confirmed(s)
+			return g.confirmDispatch(s)
 		}
 		if !errkind.Is(err, errkind.NoTarget) {
 			return nil, err
@@ -120,12 +121,13 @@
 	return nil, err
 }
 
-// confirmed gives the slot back if nothing may be dispatched.
+// confirmDispatch releases the slot and refuses the attempt if MayDispatch
+// forbids dispatching.
 //
-// What goes wrong otherwise: a request that was admitted before the process was
-// paused is sent under a profile that was replaced meanwhile. It is asked after
-// the wait for the slot, since the pause may have been in it.
-func (g *ServiceGate) confirmed(s *slot) (Slot, error) {
+// Otherwise a request that was admitted before the process was paused could be
+// sent under a profile that has been replaced since. MayDispatch is called after
+// the wait for the slot, since the pause may have happened during the wait.
+func (g *ServiceGate) confirmDispatch(s *slot) (Slot, error) {
 	if g.options.MayDispatch == nil || g.options.MayDispatch() {
 		return s, nil
 	}
@@ -135,7 +137,7 @@
 
 func (g *ServiceGate) acquire(ctx context.Context, want *Want, s *service, provider profile.Provider) (*slot, error) {
 	s.lock(g.options.Clock)
-	granted, w, err := s.enter(want, provider)
+	granted, w, err := s.acquireOrEnqueue(want, provider)
 	s.unlock()
 	if w == nil {
 		return granted, err
@@ -143,43 +145,43 @@
 	return g.wait(ctx, s, w)
 }
 
-// wait waits, with no lock held, until the waiter is settled, its deadline
+// wait blocks, with no lock held, until the waiter is resolved, its deadline
 // passes or ctx ends.
 func (g *ServiceGate) wait(ctx context.Context, s *service, w *waiter) (*slot, error) {
-	var late <-chan time.Time
+	var expired <-chan time.Time
 	if !w.deadline.IsZero() {
 		timer := g.options.Clock.NewTimer(g.options.Clock.Until(w.deadline))
 		defer timer.Stop()
-		late = timer.C
+		expired = timer.C
 	}
 	select {
 	case <-w.ready:
 		return w.slot, w.err
-	case <-late:
-		return g.giveUp(s, w, context.DeadlineExceeded)
+	case <-expired:
+		return g.abandonWait(s, w, context.DeadlineExceeded)
 	case <-ctx.Done():
-		return g.giveUp(s, w, ctx.Err())
+		return g.abandonWait(s, w, ctx.Err())
 	}
 }
 
-// giveUp takes the waiter out. A slot that was granted in the same moment is
-// given back: otherwise it would stay taken for good.
-func (g *ServiceGate) giveUp(s *service, w *waiter, cause error) (*slot, error) {
+// abandonWait removes the waiter from the queue. A slot that was granted at the
+// same moment is released: otherwise it would stay in use forever.
+func (g *ServiceGate) abandonWait(s *service, w *waiter, cause error) (*slot, error) {
 	s.lock(g.options.Clock)
-	settled := w.settled
-	if !settled {
+	resolved := w.resolved
+	if !resolved {
 		s.queue.remove(w)
-		w.settle(nil, ended(cause))
+		w.resolve(nil, waitError(cause))
 	}
 	s.unlock()
-	if settled && w.slot != nil {
+	if resolved && w.slot != nil {
 		w.slot.Done(Result{Cancelled: true})
-		return nil, ended(cause)
+		return nil, waitError(cause)
 	}
 	return nil, w.err
 }
 
-func ended(cause error) error {
+func waitError(cause error) error {
 	if cause == context.DeadlineExceeded {
 		return errkind.New(errkind.DeadlineBeforeRun, "the deadline passed while waiting for a slot")
 	}
@@ -212,7 +214,7 @@
 	return s
 }
 
-func (g *ServiceGate) all() []*service {
+func (g *ServiceGate) allServices() []*service {
 	g.mu.RLock()
 	defer g.mu.RUnlock()
 	all := make([]*service, 0, len(g.services))
@@ -225,7 +227,7 @@
 // Waiting returns the number of attempts that wait for a slot.
 func (g *ServiceGate) Waiting() int {
 	n := 0
-	for _, s := range g.all() {
+	for _, s := range g.allServices() {
 		s.mu.Lock()
 		n += s.queue.waiting
 		s.mu.Unlock()
@@ -233,10 +235,10 @@
 	return n
 }
 
-// InFlight returns the number of slots given out and not given back.
+// InFlight returns the number of slots that are granted and not yet released.
 func (g *ServiceGate) InFlight() int {
 	n := 0
-	for _, s := range g.all() {
+	for _, s := range g.allServices() {
 		s.mu.Lock()
 		n += s.inFlight
 		s.mu.Unlock()
@@ -244,10 +246,10 @@
 	return n
 }
 
-// markLeaving writes the first sign that a target is leaving to the board, so
-// that all of the instance leaves it out of choice. The sign is as old as the
-// call at least: one that was sent before the target was known to be live again
-// says nothing of now.
+// markLeaving records on the board that a target is leaving, so that the whole
+// instance stops choosing it. sent is when the call was sent that was refused as
+// leaving: a call that was sent before the target was last known to be live does
+// not mark it, since its refusal is outdated.
 func (g *ServiceGate) markLeaving(id string, sent time.Time) {
 	marked := g.options.Board.Targets.Update(id, func(old board.Target, found bool) (board.Target, bool) {
 		if !found {
--- a/internal/admission/gate_test.go
+++ b/internal/admission/gate_test.go
@@ -18,7 +18,7 @@
 	"lynxhill.example/lynxhill/internal/wire/targetapi"
 )
 
-// rig is a gate over a board with targets of one service.
+// rig is a gate with a board that has the targets of one service.
 type rig struct {
 	board     *board.Board
 	gate      *ServiceGate
@@ -111,15 +111,15 @@
 		}
 		_, err := r.gate.Acquire(context.Background(), wantOf("a", time.Now().Add(500*time.Millisecond)))
 		if !errkind.Is(err, errkind.DeadlineUnreachable) || errkind.RetryAfter(err) == 0 {
-			t.Errorf("half of the fastest time left: %v, want DeadlineUnreachable", err)
+			t.Errorf("with half of the fastest time left until the deadline: %v, want DeadlineUnreachable", err)
 		}
 	})
 }
 
-// Symptom: an attempt that gave up waiting in the moment it was granted a
-// slot leaves the target one slot short for good. Cause: the grant and the end
-// of the context race, and nobody gives the slot back.
-func TestGivenUpGrantIsReturned(t *testing.T) {
+// Guards against a leaked slot. It comes about when the context of a waiting
+// attempt ends at the moment a slot is granted, and the attempt does not release
+// the slot: the target is then short of one slot forever.
+func TestSlotGrantedToAbandonedWaitIsReleased(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(1, GateLimits{StartLimit: 1, MaxLimit: 1})
 		for range 50 {
@@ -139,14 +139,15 @@
 		}
 		synctest.Wait()
 		if n := r.gate.InFlight(); n != 0 {
-			t.Errorf("%d slots are still taken", n)
+			t.Errorf("%d slots were not released", n)
 		}
 	})
 }
 
-// Symptom: a target that comes back stays left out, because of a refusal that
-// was sent before it came back. Events: calls are refused as leaving; the target
-// is live again; a late refusal arrives.
+// Guards against a target that is live again but not chosen, because of a refusal
+// from before. It comes about when calls are refused because the target is
+// leaving, the target becomes live again, and a late refusal of an earlier call
+// arrives.
 func TestRefusalAsLeavingMarksTheTarget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(1, GateLimits{})
@@ -161,15 +162,15 @@
 		r.board.Targets.Put("t000", target)
 		late.Done(Result{Refused: true, Leaving: true})
 		if target, _ = r.board.Targets.Get("t000"); target.Leaving {
-			t.Error("a refusal sent before the target was live again marked it")
+			t.Error("a refused call that was sent before the target was live again marked it as leaving")
 		}
 	})
 }
 
-// Symptom: the second half of an answer is by another model. Sequence: a stream
-// breaks, the provider's only target is left out, and the resume goes to the
-// next provider. Cause: nothing holds a resume to its provider.
-func TestAcquireHoldsToTheProvider(t *testing.T) {
+// Guards against an answer whose second half is from another model. It comes
+// about when a stream breaks, the provider's only target is excluded, and the
+// resume goes to the next provider because Want.Provider is ignored.
+func TestAcquireKeepsTheRequiredProvider(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(1, GateLimits{})
 		r.board.Targets.Put("u000", board.Target{ID: "u000", Service: "other", Kind: profile.KindGenerate, Place: "a", Region: "r"})
@@ -178,22 +179,22 @@
 		w.Query.Exclude = []string{"t000"}
 		s := acquire(t, r.gate, w)
 		if got := s.Choice().Provider.Name; got != "q" {
-			t.Errorf("with p left out the choice is %s, want q", got)
+			t.Errorf("with the target of p excluded the choice is %s, want q", got)
 		}
 		s.Done(Result{OK: true})
 		w.Provider = "p"
 		if _, err := r.gate.Acquire(context.Background(), w); !errkind.Is(err, errkind.NoTarget) {
-			t.Errorf("held to p with its target left out: %v, want NoTarget", err)
+			t.Errorf("with p required and its target excluded: %v, want NoTarget", err)
 		}
 	})
 }
 
-// Symptom: after faults, hedges of slow targets multiply the load, or the other
-// way round repeats after faults are refused because hedges used up the budget.
-// Each kind has its own bound.
+// Guards against hedges of slow targets that multiply the load after faults, and
+// against retries after faults that are refused because hedges used up the
+// budget. Each kind has its own bound.
 func TestFaultsHaveTheirOwnBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(12, GateLimits{RepeatMin: 6, FaultMin: 5, MaxLimit: 256})
+		r := newRig(12, GateLimits{RetryMin: 6, FaultRetryMin: 5, MaxLimit: 256})
 		granted := func(fault, hedge bool) int {
 			n := 0
 			for range 20 {
@@ -210,10 +211,10 @@
 			t.Errorf("%d hedges granted, want half of the budget, 3", got)
 		}
 		if got := granted(false, false); got != 3 {
-			t.Errorf("%d repeats granted after the hedges, want the other 3", got)
+			t.Errorf("%d retries granted after the hedges, want the other 3", got)
 		}
 		if got := granted(true, true); got != 5 {
-			t.Errorf("%d repeats after faults granted, want 5", got)
+			t.Errorf("%d retries after faults granted, want 5", got)
 		}
 	})
 }
--- a/internal/admission/limiter_test.go
+++ b/internal/admission/limiter_test.go
@@ -13,11 +13,11 @@
 	"lynxhill.example/lynxhill/internal/routing"
 )
 
-// sharedTarget is a target that serves calls in order on its slots and says
-// nothing of its load.
+// sharedTarget is a target that serves calls in order on its slots and does not
+// report its load.
 type sharedTarget struct {
 	slots chan struct{}
-	mu    sync.Mutex // guards waits and served
+	mu    sync.Mutex // guards waits and done
 	waits time.Duration
 	done  int
 }
@@ -35,9 +35,9 @@
 	return time.Since(began)
 }
 
-// limiterTrial has gates share one target at twice its capacity and returns
-// the used share of the capacity and the mean wait at the target in service
-// times.
+// limiterTrial loads one target, shared by several gates, at twice its capacity.
+// It returns the used fraction of the capacity and the mean wait at the target in
+// service times.
 func limiterTrial(t *testing.T, gates int, limits GateLimits) (used, wait float64) {
 	const (
 		slots   = 16
@@ -79,14 +79,15 @@
 	return used, wait
 }
 
-// Symptom: at twice its capacity a target queues everything that is sent, and
-// all calls are late though none is refused. Cause: no limit on what it gets.
-// The limit has to be found from latency, without costing throughput.
-func TestLimiterFindsTheTarget(t *testing.T) {
+// Guards against a target that queues every call at twice its capacity, so that
+// all calls are late although none is refused. It comes about when nothing limits
+// the calls sent to it. The limiter has to find the limit from latency, without
+// losing throughput.
+func TestLimiterFindsTargetCapacity(t *testing.T) {
 	for _, gates := range []int{1, 4} {
 		used, wait := limiterTrial(t, gates, GateLimits{})
 		_, open := limiterTrial(t, gates, GateLimits{LatencyTolerance: 1e9})
-		t.Logf("RESULT gates=%d: %.3f of the capacity used, wait at the target %.2f service times; %.2f without the cut by latency", gates, used, wait, open)
+		t.Logf("RESULT gates=%d: %.3f of the capacity used, wait at the target %.2f service times; %.2f without the decrease by latency", gates, used, wait, open)
 		if used < 0.95 {
 			t.Errorf("%d gates use %.3f of the capacity", gates, used)
 		}
--- a/internal/admission/options.go
+++ b/internal/admission/options.go
@@ -14,17 +14,17 @@
 	"lynxhill.example/lynxhill/internal/routing"
 )
 
-// GateOptions are the parts of a gate. Board, Clock and Rand are required.
+// GateOptions configure a ServiceGate. Board, Clock and Rand are required.
 type GateOptions struct {
 	Board  *board.Board
 	Clock  clock.Clock
-	Rand   *rand.Rand // used only while the gate is locked; seeds one source a service
+	Rand   *rand.Rand // used only while the gate is locked; seeds one source per service
 	Place  string
 	Region string
 	Policy routing.Policy
 	Limits GateLimits // zero fields take the defaults
-	// MayDispatch is asked for each slot; nil: always. It is false after a
-	// pause of the process until the configuration is confirmed again.
+	// MayDispatch is called for each slot; nil allows all. It returns false after
+	// a pause of the process until the configuration is confirmed again.
 	MayDispatch func() bool
 	Check       *invariant.Checker
 	Logger      *event.Logger
@@ -32,37 +32,40 @@
 	Metrics *metrics.Registry
 }
 
-// GateLimits are the constants of the gate.
+// GateLimits are the tuning parameters of the gate.
 type GateLimits struct {
-	// StartLimit is a target's concurrency limit before anything is learnt;
-	// it doubles each round until the first sign of congestion.
+	// StartLimit is a target's initial concurrency limit; it doubles in each round
+	// of calls until the first sign of congestion.
 	StartLimit int
-	// MaxLimit bounds the limit of a target that has not reported its slots.
+	// MaxLimit bounds the concurrency limit of a target that has not reported its
+	// slots.
 	MaxLimit int
-	// Overcommit bounds the calls at a target as a multiple of its slots, so
-	// that an engine always finds the next call when one ends.
+	// Overcommit bounds the calls at a target as a multiple of its slots, so that
+	// an engine always has the next call queued when one ends.
 	Overcommit float64
-	// LatencyTolerance is how far a target's latency may rise above its own
-	// floor before its limit is cut.
+	// LatencyTolerance is how many times its own baseline a target's latency may
+	// reach before its limit is decreased.
 	LatencyTolerance float64
-	// FreshLoad is how old a report may be and still mark a target as full.
+	// FreshLoad is the maximum age of a load report that marks a target as full.
 	FreshLoad time.Duration
 	// Queue bounds the waiters of a service.
 	Queue int
-	// RepeatShare is the share of first attempts that may be repeated within
-	// RepeatWindow, and RepeatMin what may always be.
-	RepeatShare  float64
-	RepeatMin    int
-	RepeatWindow time.Duration
-	// FaultShare and FaultMin are the same for repeats after faults that are
-	// not load.
-	FaultShare float64
-	FaultMin   int
-	// Window is the sliding window of the latency distributions; MinSamples
-	// is what a distribution needs before it is used.
+	// RepeatShare is the share of first attempts that may be retried within
+	// RetryWindow, resumes and hedges included. RetryMin is the number of retries
+	// that is always allowed.
+	RepeatShare float64
+	RetryMin    int
+	RetryWindow time.Duration
+	// FaultRetryShare and FaultRetryMin are the same for retries after failures
+	// that are not a sign of load.
+	FaultRetryShare float64
+	FaultRetryMin   int
+	// Window is the sliding window of the latency distributions; MinSamples is
+	// the number of samples that a distribution needs before it is used.
 	Window     time.Duration
 	MinSamples int
-	// Floors and ceilings of the timeouts.
+	// Floors and ceilings of the timeouts and of the delay of a hedge, which is
+	// the HedgeQuantile of the time to the first byte.
 	FirstByteFloor time.Duration
 	FirstByteCeil  time.Duration
 	ProgressFloor  time.Duration
@@ -71,19 +74,20 @@
 	HedgeQuantile  float64
 	// EjectShare bounds the targets of a service that are ejected at once.
 	EjectShare float64
-	// EjectBase is the first ejection; it doubles up to EjectMax.
+	// EjectBase is the duration of the first ejection; it doubles with each
+	// consecutive one up to EjectMax.
 	EjectBase time.Duration
 	EjectMax  time.Duration
-	// EjectFailures in a row, or latencies EjectSlowness times the service's
-	// median, eject a target.
+	// EjectFailures is the number of consecutive failures, and EjectSlowness the
+	// ratio of latency to the service's median, that eject a target.
 	EjectFailures int
 	EjectSlowness float64
-	// LeavingGrace is how long after the first sign that a target is leaving
-	// a dispatch to it counts as a broken invariant.
+	// LeavingGrace is how long after the first sign that a target is leaving a
+	// dispatch to it is still no violation of the invariant.
 	LeavingGrace time.Duration
 }
 
-// DefaultGateLimits returns the constants that zero fields take.
+// DefaultGateLimits returns the defaults of GateLimits.
 func DefaultGateLimits() GateLimits {
 	return GateLimits{
 		StartLimit:       8,
@@ -93,10 +97,10 @@
 		FreshLoad:        time.Second,
 		Queue:            1024,
 		RepeatShare:      0.1,
-		RepeatMin:        5,
-		RepeatWindow:     10 * time.Second,
-		FaultShare:       0.5,
-		FaultMin:         20,
+		RetryMin:         5,
+		RetryWindow:      10 * time.Second,
+		FaultRetryShare:  0.5,
+		FaultRetryMin:    20,
 		Window:           time.Minute,
 		MinSamples:       20,
 		FirstByteFloor:   500 * time.Millisecond,
@@ -114,7 +118,7 @@
 	}
 }
 
-// WithDefaults fills in zero fields.
+// WithDefaults returns the limits with zero fields replaced by the defaults.
 func (l GateLimits) WithDefaults() GateLimits {
 	d := DefaultGateLimits()
 	defaults.Set(&l.StartLimit, d.StartLimit)
@@ -124,10 +128,10 @@
 	defaults.Set(&l.FreshLoad, d.FreshLoad)
 	defaults.Set(&l.Queue, d.Queue)
 	defaults.Set(&l.RepeatShare, d.RepeatShare)
-	defaults.Set(&l.RepeatMin, d.RepeatMin)
-	defaults.Set(&l.RepeatWindow, d.RepeatWindow)
-	defaults.Set(&l.FaultShare, d.FaultShare)
-	defaults.Set(&l.FaultMin, d.FaultMin)
+	defaults.Set(&l.RetryMin, d.RetryMin)
+	defaults.Set(&l.RetryWindow, d.RetryWindow)
+	defaults.Set(&l.FaultRetryShare, d.FaultRetryShare)
+	defaults.Set(&l.FaultRetryMin, d.FaultRetryMin)
 	defaults.Set(&l.Window, d.Window)
 	defaults.Set(&l.MinSamples, d.MinSamples)
 	defaults.Set(&l.FirstByteFloor, d.FirstByteFloor)
@@ -145,7 +149,7 @@
 	return l
 }
 
-// Validate reports the first constant that cannot work.
+// Validate returns an error for the first invalid parameter.
 func (l GateLimits) Validate() error {
 	switch {
 	case l.StartLimit < 1 || l.MaxLimit < l.StartLimit:
@@ -157,9 +161,9 @@
 	case l.Queue < 1:
 		return fmt.Errorf("gate limits: Queue %d is below 1", l.Queue)
 	case l.RepeatShare < 0 || l.RepeatShare > 1:
-		return fmt.Errorf("gate limits: RepeatShare %g is not between 0 and 1", l.RepeatShare)
-	case l.FaultShare < 0 || l.FaultShare > 1:
-		return fmt.Errorf("gate limits: FaultShare %g is not between 0 and 1", l.FaultShare)
+		return fmt.Errorf("gate limits: the share of retries %g is not between 0 and 1", l.RepeatShare)
+	case l.FaultRetryShare < 0 || l.FaultRetryShare > 1:
+		return fmt.Errorf("gate limits: the share of retries after faults %g is not between 0 and 1", l.FaultRetryShare)
 	case l.EjectShare < 0 || l.EjectShare > 0.5:
 		return fmt.Errorf("gate limits: EjectShare %g is not between 0 and 0.5", l.EjectShare)
 	case l.HedgeQuantile <= 0 || l.HedgeQuantile >= 1:
--- a/internal/admission/organisation.go
+++ b/internal/admission/organisation.go
@@ -13,55 +13,56 @@
 
 const (
 	organisationShards = 32 // a power of two
-	// demandMemory is the time constant of an organisation's demand.
-	demandMemory = 5 * time.Second
-	// demandGone is the demand, in requests a second, below which an idle
-	// organisation is forgotten: its token bucket is full again by then.
-	demandGone = 0.001
+	// demandTimeConstant is the time constant of the moving average of an
+	// organisation's demand.
+	demandTimeConstant = 5 * time.Second
+	// minDemand is the demand, in requests a second, below which an idle
+	// organisation is deleted: its token bucket is full again by then.
+	minDemand = 0.001
 )
 
-// organisations keeps the organisations that asked lately, in shards.
+// organisations holds the organisations with recent requests, in shards.
 type organisations struct {
 	seed   maphash.Seed
 	shards []*organisationShard
 }
 
 type organisationShard struct {
-	mu   sync.Mutex // guards rows and the organisations in it
-	rows map[string]*organisation
+	mu     sync.Mutex // guards byName and the organisations in it
+	byName map[string]*organisation
 }
 
 // organisation is guarded by the lock of its shard.
 type organisation struct {
-	shard    *organisationShard
-	name     string
-	inFlight int
-	users    int // callers of take that haven't come to admit
-	demand   float64
-	askedAt  time.Time
-	bucket   *rate.Limiter
+	shard       *organisationShard
+	name        string
+	inFlight    int
+	pins        int     // calls of pin whose admit has not begun
+	demand      float64 // moving average, in requests a second
+	lastRequest time.Time
+	bucket      *rate.Limiter
 }
 
 func newOrganisations() organisations {
 	o := organisations{seed: maphash.MakeSeed(), shards: make([]*organisationShard, organisationShards)}
 	for i := range o.shards {
-		o.shards[i] = &organisationShard{rows: make(map[string]*organisation)}
+		o.shards[i] = &organisationShard{byName: make(map[string]*organisation)}
 	}
 	return o
 }
 
-// take returns the organisation and keeps it from being forgotten until its
-// users are counted down again.
-func (o *organisations) take(name string) *organisation {
+// pin returns the organisation, creating it if needed, and keeps it from being
+// deleted until pins is decremented.
+func (o *organisations) pin(name string) *organisation {
 	s := o.shards[maphash.String(o.seed, name)%organisationShards]
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	org := s.rows[name]
+	org := s.byName[name]
 	if org == nil {
 		org = &organisation{shard: s, name: name}
-		s.rows[name] = org
+		s.byName[name] = org
 	}
-	org.users++
+	org.pins++
 	return org
 }
 
@@ -76,10 +77,10 @@
 func (s *organisationShard) usage(all []gossip.Usage, now time.Time) []gossip.Usage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for name, org := range s.rows {
+	for name, org := range s.byName {
 		demand := org.demandAt(now)
-		if demand < demandGone && org.inFlight == 0 && org.users == 0 {
-			delete(s.rows, name)
+		if demand < minDemand && org.inFlight == 0 && org.pins == 0 {
+			delete(s.byName, name)
 			continue
 		}
 		all = append(all, gossip.Usage{Organisation: name, RatePerSecond: demand, InFlight: org.inFlight})
@@ -87,19 +88,21 @@
 	return all
 }
 
-// arrive counts a request in the demand, an exponential moving rate.
-func (org *organisation) arrive(now time.Time) {
-	org.demand = org.demandAt(now) + 1/demandMemory.Seconds()
-	org.askedAt = now
+// countRequest adds a request to the demand, an exponentially weighted moving
+// rate.
+func (org *organisation) countRequest(now time.Time) {
+	org.demand = org.demandAt(now) + 1/demandTimeConstant.Seconds()
+	org.lastRequest = now
 }
 
 func (org *organisation) demandAt(now time.Time) float64 {
-	age := max(now.Sub(org.askedAt), 0)
-	return org.demand * math.Exp(-age.Seconds()/demandMemory.Seconds())
+	age := max(now.Sub(org.lastRequest), 0)
+	return org.demand * math.Exp(-age.Seconds()/demandTimeConstant.Seconds())
 }
 
-// takeToken takes a token of the rate and returns 0, or when the next one
-// comes. The bucket holds one second's worth, at least one token.
+// takeToken takes a token from the organisation's token bucket and returns 0, or
+// returns the time until the next token is available. The bucket holds the
+// tokens of one second, at least one.
 func (org *organisation) takeToken(perSecond float64, now time.Time) time.Duration {
 	if perSecond <= 0 {
 		org.bucket = nil
--- a/internal/admission/property_test.go
+++ b/internal/admission/property_test.go
@@ -26,18 +26,18 @@
 	return gopter.NewProperties(p)
 }
 
-// soak is one random run: thousands of attempts by several organisations on a
-// few targets with faults, through admitter and gate.
+// soak is one random run: attempts by several organisations on a few targets
+// with faults, through admitter and gate.
 type soak struct {
-	t         *testing.T
-	r         *rig
-	admitter  *InstanceAdmitter
-	rand      *rand.Rand
-	mu        sync.Mutex // guards all below
-	running   map[string]int
-	organised map[string]int
-	problem   string
-	granted   int
+	t              *testing.T
+	r              *rig
+	admitter       *InstanceAdmitter
+	rand           *rand.Rand
+	mu             sync.Mutex // guards all below
+	running        map[string]int
+	byOrganisation map[string]int
+	problem        string
+	granted        int
 }
 
 const (
@@ -56,18 +56,19 @@
 	}
 }
 
-// note counts calls by target and organisation and checks the bounds.
+// note counts the calls in flight by target and organisation and checks the
+// bounds.
 func (k *soak) note(target, organisation string, by int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.running[target] += by
-	k.organised[organisation] += by
+	k.byOrganisation[organisation] += by
 	k.granted += max(by, 0)
 	if k.running[target] > soakMaxLimit {
 		k.problem = fmt.Sprintf("%d calls at %s, limit %d", k.running[target], target, soakMaxLimit)
 	}
-	if organisation == "o0" && k.organised["o0"] > soakConcurrent {
-		k.problem = fmt.Sprintf("%d calls of o0, limit %d", k.organised["o0"], soakConcurrent)
+	if organisation == "o0" && k.byOrganisation["o0"] > soakConcurrent {
+		k.problem = fmt.Sprintf("%d calls of o0, limit %d", k.byOrganisation["o0"], soakConcurrent)
 	}
 }
 
@@ -127,10 +128,10 @@
 	asked := time.Now()
 	s, err := k.r.gate.Acquire(ctx, want)
 	if p.noWait && time.Since(asked) > 0 {
-		k.fail("NoWait waited %s", time.Since(asked))
+		k.fail("an attempt with NoWait waited %s", time.Since(asked))
 	}
 	if time.Now().After(deadline) {
-		k.fail("Acquire came back %s after the deadline", time.Since(deadline))
+		k.fail("Acquire returned %s after the deadline", time.Since(deadline))
 	}
 	if err != nil {
 		if errkind.Is(err, errkind.Internal) {
@@ -146,7 +147,8 @@
 	s.Done(p.result)
 }
 
-// disturb changes the targets meanwhile: reports, drains, joins and leaves.
+// disturb changes the targets during the run: load reports, drains, additions and
+// removals.
 func (k *soak) disturb(i int) {
 	id := fmt.Sprintf("t%03d", k.rand.IntN(soakTargets))
 	switch k.rand.IntN(12) {
@@ -169,7 +171,7 @@
 		r := newRig(soakTargets, GateLimits{StartLimit: 3, MaxLimit: soakMaxLimit, Overcommit: 1, Queue: 20, EjectBase: 50 * time.Millisecond, EjectMax: time.Second})
 		admitter, b := newTestAdmitter(soakInFlight)
 		b.Limits.Put("o0", board.Limit{Concurrent: soakConcurrent})
-		k := &soak{t: t, r: r, admitter: admitter, rand: rand.New(rand.NewPCG(seed, 1)), running: make(map[string]int), organised: make(map[string]int)}
+		k := &soak{t: t, r: r, admitter: admitter, rand: rand.New(rand.NewPCG(seed, 1)), running: make(map[string]int), byOrganisation: make(map[string]int)}
 		var group sync.WaitGroup
 		for i := range soakAttempts {
 			time.Sleep(time.Duration(k.rand.IntN(7)) * time.Millisecond)
@@ -181,7 +183,7 @@
 		}
 		group.Wait()
 		if r.gate.InFlight() != 0 || r.gate.Waiting() != 0 || admitter.InFlight() != 0 || admitter.active.Load() != 0 {
-			k.fail("left over: %d slots, %d waiters, %d requests, %d organisations", r.gate.InFlight(), r.gate.Waiting(), admitter.InFlight(), admitter.active.Load())
+			k.fail("not released at the end: %d slots, %d waiters, %d requests, %d organisations", r.gate.InFlight(), r.gate.Waiting(), admitter.InFlight(), admitter.active.Load())
 		}
 		for id, target := range r.gate.service("pool").targets {
 			if target.inFlight() != 0 {
@@ -192,16 +194,16 @@
 			k.fail("violations: %v", v)
 		}
 		if k.granted < soakAttempts/4 {
-			k.fail("only %d of %d attempts got a slot: the run shows little", k.granted, soakAttempts)
+			k.fail("only %d of %d attempts got a slot: too few to test the bounds", k.granted, soakAttempts)
 		}
 		problem = k.problem
 	})
 	return problem
 }
 
-// TestSoak runs 12 times 1,500 attempts through admitter and gate: no slot leaks,
-// no bound is passed, nobody waits beyond its deadline, every refusal has a
-// kind.
+// TestSoak runs 1,500 attempts through admitter and gate for each of 12 seeds. It
+// checks that no slot leaks, no bound is exceeded, no attempt waits beyond its
+// deadline, and every refusal has a kind.
 func TestSoak(t *testing.T) {
 	p := properties(12)
 	p.Property("bounds hold and nothing leaks", prop.ForAll(func(seed uint64) string {
@@ -210,8 +212,8 @@
 	p.TestingRun(t)
 }
 
-// queueModel is the order of the queue written down plainly: priority, then
-// virtual time, then deadline.
+// queueModel is a simple reference model of the order of the queue: priority,
+// then virtual time, then deadline.
 func queueModel(q *queue, in map[*waiter]bool) *waiter {
 	var best *waiter
 	for w := range in {
@@ -247,7 +249,7 @@
 			w := &waiter{want: &want, provider: want.Query.Stage.Providers[0], priority: source.IntN(3), deadline: want.Query.Deadline}
 			q.push(w)
 			in[w] = true
-		case source.IntN(4) == 0: // one gives up
+		case source.IntN(4) == 0: // a waiter is removed before its turn
 			for w := range in {
 				q.remove(w)
 				delete(in, w)
@@ -256,7 +258,7 @@
 		default:
 			got, want := q.next(uint64(i+1)), queueModel(q, in)
 			if modelLess(q, want, got) {
-				return fmt.Sprintf("step %d: %+v came before %+v", i, got, want)
+				return fmt.Sprintf("step %d: next returned %+v, want %+v", i, got, want)
 			}
 			q.remove(got)
 			delete(in, got)
@@ -269,16 +271,17 @@
 	return ""
 }
 
-// TestQueueOrder compares the queue with its model over 200 times 400 steps.
+// TestQueueOrder compares the queue with its model over 400 steps for each of 200
+// seeds.
 func TestQueueOrder(t *testing.T) {
 	p := properties(200)
 	p.Property("priority, fair share, deadline", prop.ForAll(runQueue, gen.UInt64().WithShrinker(gopter.NoShrinker)))
 	p.TestingRun(t)
 }
 
-// TestBackloggedOrganisationsShareEqually holds that no organisation starves:
-// while two have waiters, their service differs by no more than the longest
-// slot, whatever their slots cost.
+// TestBackloggedOrganisationsShareEqually checks that no organisation starves:
+// while several have waiters, their seconds of service differ by a small bound,
+// whatever their slots cost.
 func TestBackloggedOrganisationsShareEqually(t *testing.T) {
 	p := properties(100)
 	p.Property("equal seconds of service", prop.ForAll(func(seed uint64) string {
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -7,28 +7,29 @@
 	"lynxhill.example/lynxhill/internal/profile"
 )
 
-// flowKey groups waiters that are equal but for their deadlines: one that
-// waits for another model must not hold up the rest of its organisation.
+// flowKey groups waiters that differ only in priority and deadline. Flows are
+// separate for each model so that a waiter for one model does not block the
+// waiters of its organisation for other models.
 type flowKey struct {
-	organisation string
-	model        string
-	version      string
-	adapter      string
-	repeated     bool // leaves out some targets
+	organisation  string
+	model         string
+	version       string
+	adapter       string
+	hasExclusions bool // the query excludes some targets
 }
 
-func flowOf(want *Want, p profile.Provider) flowKey {
+func flowKeyOf(want *Want, p profile.Provider) flowKey {
 	return flowKey{
-		organisation: want.Query.Organisation,
-		model:        p.Model,
-		version:      p.Version,
-		adapter:      p.Adapter,
-		repeated:     len(want.Query.Exclude) > 0,
+		organisation:  want.Query.Organisation,
+		model:         p.Model,
+		version:       p.Version,
+		adapter:       p.Adapter,
+		hasExclusions: len(want.Query.Exclude) > 0,
 	}
 }
 
 // waiter is an attempt that waits for a slot. It is guarded by the lock of its
-// service; ready is closed when slot or err has been set.
+// service; ready is closed once slot or err is set.
 type waiter struct {
 	want     *Want
 	provider profile.Provider
@@ -37,29 +38,28 @@
 	ready    chan struct{}
 	slot     *slot
 	err      error
-	settled  bool
+	resolved bool
 	index    int // in the heap of its flow
 	flow     *flow
 }
 
-func (w *waiter) settle(s *slot, err error) {
-	w.slot, w.err, w.settled = s, err, true
+func (w *waiter) resolve(s *slot, err error) {
+	w.slot, w.err, w.resolved = s, err, true
 	close(w.ready)
 }
 
-// flow holds the waiters of one organisation and model, earliest deadline
-// first.
+// flow holds the waiters with one key and priority, earliest deadline first.
 type flow struct {
-	key     flowKey
-	level   int
-	waiters deadlineHeap
-	skipped uint64 // number of the pass that could not place its head
+	key         flowKey
+	level       int
+	waiters     deadlineHeap
+	skippedPass uint64 // number of the last pass that found no target for the first waiter
 }
 
-// queue holds the waiters of a service: by priority, fair among organisations
-// by virtual time, earliest deadline first inside an organisation.
+// queue holds the waiters of a service, ordered by priority, then fairly among
+// organisations by virtual time, then by deadline.
 type queue struct {
-	levels  []level // by falling priority; few
+	levels  []level // by descending priority; few
 	waiting int
 	byOrg   map[string]int // waiters of each organisation
 	tags    virtualTime
@@ -77,7 +77,7 @@
 
 func (q *queue) push(w *waiter) {
 	lv := q.levelOf(w.priority)
-	key := flowOf(w.want, w.provider)
+	key := flowKeyOf(w.want, w.provider)
 	f := lv.byKey[key]
 	if f == nil {
 		f = &flow{key: key, level: w.priority}
@@ -108,13 +108,13 @@
 	f := w.flow
 	heap.Remove(&f.waiters, w.index)
 	q.waiting--
-	q.forgetOne(f.key.organisation)
+	q.decrement(f.key.organisation)
 	if len(f.waiters) == 0 {
 		q.levelOf(f.level).drop(f)
 	}
 }
 
-func (q *queue) forgetOne(organisation string) {
+func (q *queue) decrement(organisation string) {
 	q.byOrg[organisation]--
 	if q.byOrg[organisation] == 0 {
 		delete(q.byOrg, organisation)
@@ -134,11 +134,11 @@
 	}
 }
 
-// next returns the waiter whose turn it is, leaving out flows that the pass
-// has skipped: of the highest priority, of the organisation with the lowest
-// virtual time, with the earliest deadline. It goes through the flows of a
-// level, of which the queue's bound allows few; a heap would have to be mended
-// whenever an organisation is charged.
+// next returns the waiter to serve next, ignoring flows that the pass has
+// skipped: the one with the highest priority, of the organisation with the
+// lowest virtual time, with the earliest deadline. It scans all flows of a
+// level, whose number is limited by the queue's bound; a heap would have to be
+// fixed whenever an organisation is charged.
 func (q *queue) next(pass uint64) *waiter {
 	for i := range q.levels {
 		if f := q.nextFlow(&q.levels[i], pass); f != nil {
@@ -152,33 +152,34 @@
 	var best *flow
 	var bestStart float64
 	for _, f := range lv.flows {
-		if f.skipped == pass {
+		if f.skippedPass == pass {
 			continue
 		}
 		start := q.tags.start(f.key.organisation)
-		if best == nil || earlier(f, start, best, bestStart) {
+		if best == nil || precedes(f, start, best, bestStart) {
 			best, bestStart = f, start
 		}
 	}
 	return best
 }
 
-// earlier orders flows by start, then by deadline, then by name, so that the
-// order does not hang on how the flows lie in memory.
-func earlier(f *flow, start float64, best *flow, bestStart float64) bool {
+// precedes orders flows by start tag, then deadline, then organisation, so that
+// the order does not depend on the order of the flows in memory.
+func precedes(f *flow, start float64, best *flow, bestStart float64) bool {
 	if start != bestStart {
 		return start < bestStart
 	}
 	a, b := f.waiters[0].deadline, best.waiters[0].deadline
 	if !a.Equal(b) {
-		return before(a, b)
+		return deadlineBefore(a, b)
 	}
 	return f.key.organisation < best.key.organisation
 }
 
-// victim returns the waiter to drop so that a full queue can take one of the
-// organisation at the priority: the latest of the organisation with the most
-// waiters at the lowest priority. nil: the newcomer itself.
+// victim returns the waiter to evict from a full queue in favour of a new waiter
+// of the organisation at the priority: at the lowest priority, of the
+// organisation with the most waiters, the one with the latest deadline. It
+// returns nil if the new waiter is to be refused instead.
 func (q *queue) victim(organisation string, priority int) *waiter {
 	for i := len(q.levels) - 1; i >= 0; i-- {
 		lv := &q.levels[i]
@@ -211,15 +212,15 @@
 func (f *flow) latest() *waiter {
 	worst := f.waiters[0]
 	for _, w := range f.waiters[1:] {
-		if before(worst.deadline, w.deadline) {
+		if deadlineBefore(worst.deadline, w.deadline) {
 			worst = w
 		}
 	}
 	return worst
 }
 
-// before orders deadlines; none is the latest.
-func before(a, b time.Time) bool {
+// deadlineBefore orders deadlines. A zero deadline means none and sorts last.
+func deadlineBefore(a, b time.Time) bool {
 	if a.IsZero() || b.IsZero() {
 		return !a.IsZero() && b.IsZero()
 	}
@@ -230,7 +231,7 @@
 type deadlineHeap []*waiter
 
 func (h deadlineHeap) Len() int           { return len(h) }
-func (h deadlineHeap) Less(i, j int) bool { return before(h[i].deadline, h[j].deadline) }
+func (h deadlineHeap) Less(i, j int) bool { return deadlineBefore(h[i].deadline, h[j].deadline) }
 
 func (h deadlineHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
--- a/internal/admission/service.go
+++ b/internal/admission/service.go
@@ -12,19 +12,19 @@
 )
 
 const (
-	// pumpInterval is how often waiters are tried again while the queue isn't
-	// empty: room also comes from load reports, which wake nobody.
-	pumpInterval = 25 * time.Millisecond
-	// pumpSkips bounds the flows that one pass finds no target for.
-	pumpSkips = 16
-	// meanInterval is how often the service's mean load is computed anew.
+	// dispatchInterval is how often waiters are retried while the queue is not
+	// empty: load reports can free capacity too, but trigger no dispatch.
+	dispatchInterval = 25 * time.Millisecond
+	// maxSkippedFlows bounds the flows without a target that one pass skips.
+	maxSkippedFlows = 16
+	// meanInterval is how often the mean load of the service is recomputed.
 	meanInterval = 100 * time.Millisecond
-	// unknownCost is charged for a slot while no duration is measured.
-	unknownCost = 100 * time.Millisecond
-	// hopeless is the quantile of a stage's time that must still fit into the
-	// deadline.
-	hopeless = 0.1
-	// tokensWeight is that of a new answer in the mean length.
+	// defaultCost is charged for a slot while no duration has been measured.
+	defaultCost = 100 * time.Millisecond
+	// minTimeQuantile is the quantile of a stage's total time that must fit into
+	// the time left until the deadline.
+	minTimeQuantile = 0.1
+	// tokensWeight is the weight of a new answer in the mean answer length.
 	tokensWeight = 0.05
 )
 
@@ -33,41 +33,41 @@
 	gate *ServiceGate
 	name string
 
-	mu       sync.Mutex // guards all below
-	now      time.Time  // of the operation that holds mu
-	limits   *GateLimits
-	policy   routing.Policy
-	rand     *rand.Rand
-	turn     uint64
-	pass     uint64
-	targets  map[string]*targetState
-	stages   map[string]*stageStats
-	all      stageStats
-	queue    *queue
-	budget   repeatBudget
-	mean     routing.Mean
-	meanAt   time.Time
-	timer    bool // a pump is due
-	inFlight int
-	news     []news
+	mu                sync.Mutex // guards all below
+	now               time.Time  // when the operation that holds mu began
+	limits            *GateLimits
+	policy            routing.Policy
+	rand              *rand.Rand
+	turn              uint64 // number of choices made
+	pass              uint64 // number of calls of dispatchWaiting
+	targets           map[string]*targetState
+	stages            map[string]*stageStats
+	all               stageStats
+	queue             *queue
+	budget            retryBudget
+	mean              routing.Mean
+	meanAt            time.Time // when mean was computed
+	dispatchScheduled bool      // a call of dispatchWaiting is scheduled
+	inFlight          int
+	pendingLog        []logEntry // written by unlock
 }
 
-// stageStats are the distributions of a stage over all targets.
+// stageStats holds the distributions of a stage over all targets.
 type stageStats struct {
-	silences
+	waitTimes
 	total    distribution
 	perToken distribution
-	tokens   float64 // moving mean of whole answers
+	tokens   float64 // moving mean of complete answers
 	// Cached quantiles of the distributions.
-	first   time.Duration // median of firstByte
-	pace    time.Duration // median of perToken
-	fastest time.Duration // of total
-	median  time.Duration // of total
-	pending int
+	medianFirstByte time.Duration // median of firstByte
+	medianPerToken  time.Duration // median of perToken
+	fastTotal       time.Duration // minTimeQuantile of total
+	median          time.Duration // of total
+	pending         int           // samples since the quantiles were computed
 }
 
 func (st *stageStats) measure(r Result, now time.Time, l *GateLimits) {
-	st.addSilences(r, now, l)
+	st.addWaitTimes(r, now, l)
 	if !r.OK {
 		return
 	}
@@ -79,12 +79,12 @@
 	}
 	st.total.add(r.Duration, now, l.Window, l.MinSamples)
 	st.pending++
-	if st.pending >= medianEvery || st.median == 0 {
+	if st.pending >= quantileRefreshEvery || st.median == 0 {
 		st.pending = 0
-		st.fastest, _ = st.total.quantile(hopeless, l.MinSamples)
+		st.fastTotal, _ = st.total.quantile(minTimeQuantile, l.MinSamples)
 		st.median, _ = st.total.quantile(0.5, l.MinSamples)
-		st.first, _ = st.firstByte.quantile(0.5, medianEvery)
-		st.pace, _ = st.perToken.quantile(0.5, medianEvery)
+		st.medianFirstByte, _ = st.firstByte.quantile(0.5, quantileRefreshEvery)
+		st.medianPerToken, _ = st.perToken.quantile(0.5, quantileRefreshEvery)
 	}
 }
 
@@ -95,17 +95,18 @@
 	st.tokens += tokensWeight * (tokens - st.tokens)
 }
 
-// slowness is how many times the usual time an ended call needed, and what that
-// counts as a sign; 0 where it says nothing. A call without tokens that took
-// long may just have been a long one: only that another target was faster tells.
-func (st *stageStats) slowness(r Result) (ratio float64, sign int) {
+// slowness returns the ratio of an ended call's time to the usual time, and the
+// score of that sign if the call was slow; 0 and 0 if the call says nothing about
+// slowness. A call that took long without producing tokens may simply have been a
+// long call: it counts only if another target responded first.
+func (st *stageStats) slowness(r Result) (ratio float64, score int) {
 	switch {
-	case r.OK && r.PerToken > 0 && st.pace > 0:
-		return float64(r.PerToken) / float64(st.pace), behindPace
-	case r.Outrun && r.FirstByte == 0 && st.first > 0:
-		return float64(r.Duration) / float64(st.first), behindStart
-	case r.OK && r.FirstByte > 0 && r.FirstByte <= st.first:
-		return 1, behindStart
+	case r.OK && r.PerToken > 0 && st.medianPerToken > 0:
+		return float64(r.PerToken) / float64(st.medianPerToken), slowPaceScore
+	case r.Outrun && r.FirstByte == 0 && st.medianFirstByte > 0:
+		return float64(r.Duration) / float64(st.medianFirstByte), lateStartScore
+	case r.OK && r.FirstByte > 0 && r.FirstByte <= st.medianFirstByte:
+		return 1, lateStartScore
 	}
 	return 0, 0
 }
@@ -115,12 +116,12 @@
 	s.now = c.Now()
 }
 
-// unlock lets go of the lock and then tells what happened under it.
+// unlock releases the lock and then writes the log entries recorded under it.
 func (s *service) unlock() {
-	told := s.news
-	s.news = nil
+	entries := s.pendingLog
+	s.pendingLog = nil
 	s.mu.Unlock()
-	s.gate.tell(told)
+	s.gate.writeLog(entries)
 }
 
 func (s *service) stage(name string) *stageStats {
@@ -141,7 +142,7 @@
 	return t
 }
 
-// choose asks the chooser with this service's view.
+// choose runs the chooser with this service's local view of the targets.
 func (s *service) choose(want *Want, provider profile.Provider) (routing.Choice, routing.Verdict) {
 	s.refreshMean()
 	s.turn++
@@ -157,8 +158,8 @@
 	})
 }
 
-// refreshMean computes the mean load of the service from the reports, and
-// drops the state of targets that are gone.
+// refreshMean recomputes the mean load of the service from the load reports, and
+// deletes the state of removed targets once there is much of it.
 func (s *service) refreshMean() {
 	if s.now.Sub(s.meanAt) < meanInterval && !s.meanAt.IsZero() {
 		return
@@ -180,11 +181,11 @@
 		s.mean.PerSlot = float64(outstanding) / float64(slots)
 	}
 	if len(s.targets) > 2*len(listed.All) {
-		s.forgetGone()
+		s.removeStaleTargets()
 	}
 }
 
-func (s *service) forgetGone() {
+func (s *service) removeStaleTargets() {
 	for id, t := range s.targets {
 		if _, listed := s.gate.options.Board.Targets.Get(id); !listed && t.inFlight() == 0 {
 			delete(s.targets, id)
@@ -192,9 +193,10 @@
 	}
 }
 
-// enter grants a slot at once, refuses, or returns a waiter in the queue.
-func (s *service) enter(want *Want, provider profile.Provider) (*slot, *waiter, error) {
-	if err := s.reachable(want); err != nil {
+// acquireOrEnqueue grants a slot immediately, refuses the attempt, or returns
+// its waiter in the queue.
+func (s *service) acquireOrEnqueue(want *Want, provider profile.Provider) (*slot, *waiter, error) {
+	if err := s.checkDeadline(want); err != nil {
 		return nil, nil, err
 	}
 	if s.queue.waiting == 0 {
@@ -203,21 +205,22 @@
 		case routing.NoCandidate:
 			return nil, nil, noTarget(s.name)
 		case routing.Chosen:
-			if err := s.spend(want); err != nil {
+			if err := s.chargeRetryBudget(want); err != nil {
 				return nil, nil, err
 			}
 			return s.grant(want, choice), nil, nil
 		}
 	}
 	if want.NoWait {
-		return nil, nil, s.overloaded("no target of %s has room", s.name)
+		return nil, nil, s.overloaded("no target of %s has free capacity", s.name)
 	}
 	w, err := s.enqueue(want, provider)
 	return nil, w, err
 }
 
-// reachable refuses what even a fast run would not finish in time.
-func (s *service) reachable(want *Want) error {
+// checkDeadline refuses an attempt that would not finish in time even if it ran
+// fast.
+func (s *service) checkDeadline(want *Want) error {
 	deadline := want.Query.Deadline
 	if deadline.IsZero() {
 		return nil
@@ -226,22 +229,23 @@
 	if left <= 0 {
 		return errkind.New(errkind.DeadlineBeforeRun, "the deadline passed before stage %s", want.Query.Stage.Name)
 	}
-	if left < s.stage(want.Query.Stage.Name).fastest {
-		return s.unreachable(want, 0)
+	if left < s.stage(want.Query.Stage.Name).fastTotal {
+		return s.deadlineUnreachable(want, 0)
 	}
 	return nil
 }
 
-// spend takes a repeat from the budget or counts a first attempt.
-func (s *service) spend(want *Want) error {
+// chargeRetryBudget charges a retry, resume or hedge to its budget, or counts a
+// first attempt.
+func (s *service) chargeRetryBudget(want *Want) error {
 	if !want.Repeat {
 		s.budget.countFirst(s.now, s.limits)
 		return nil
 	}
-	take := s.budget.takeRepeat
+	take := s.budget.takeRetry
 	switch {
 	case want.Fault:
-		take = s.budget.takeFault
+		take = s.budget.takeFaultRetry
 	case want.NoWait:
 		take = s.budget.takeHedge
 	}
@@ -249,7 +253,7 @@
 		return nil
 	}
 	s.gate.counts.budgetRefusals.Add(1)
-	return s.overloaded("the budget for repeats of %s is spent", s.name)
+	return s.overloaded("the retry budget of %s is exhausted", s.name)
 }
 
 func (s *service) overloaded(format string, args ...any) error {
@@ -257,13 +261,13 @@
 	return errkind.WithRetryAfter(err, s.retryAfter())
 }
 
-func (s *service) unreachable(want *Want, wait time.Duration) error {
+func (s *service) deadlineUnreachable(want *Want, wait time.Duration) error {
 	s.gate.counts.unreachable.Add(1)
 	err := errkind.New(errkind.DeadlineUnreachable, "stage %s would not finish in time", want.Query.Stage.Name)
 	return errkind.WithRetryAfter(err, max(wait, s.retryAfter()))
 }
 
-// retryAfter is when about half of what waits now will have been served.
+// retryAfter estimates when half of the present waiters will have been served.
 func (s *service) retryAfter() time.Duration {
 	const floor, ceil = 100 * time.Millisecond, 10 * time.Second
 	served := max(s.inFlight, 1)
--- a/internal/admission/slot.go
+++ b/internal/admission/slot.go
@@ -15,7 +15,7 @@
 	state        *targetState
 	organisation string
 	stage        string
-	cost         float64 // charged, in seconds
+	cost         float64 // charged to the organisation, in seconds
 	began        time.Time
 	done         atomic.Bool
 }
@@ -24,7 +24,7 @@
 func (s *slot) Choice() routing.Choice { return s.choice }
 
 // Pace implements Slot.
-func (s *slot) Pace(perToken time.Duration) { s.service.pace(s, perToken) }
+func (s *slot) Pace(perToken time.Duration) { s.service.recordPace(s, perToken) }
 
 // Done implements Slot. Only the first call counts.
 func (s *slot) Done(result Result) {
@@ -34,13 +34,13 @@
 	s.service.release(s, result)
 }
 
-// grant gives out a slot on the chosen target.
+// grant creates a slot on the chosen target and charges its organisation.
 func (s *service) grant(want *Want, choice routing.Choice) *slot {
 	s.assertNotLeaving(choice)
 	t := s.target(choice.Target.ID)
 	t.begin(s.now)
 	s.inFlight++
-	cost := unknownCost
+	cost := defaultCost
 	if median := s.stage(want.Query.Stage.Name).median; median > 0 {
 		cost = median
 	}
@@ -57,45 +57,47 @@
 	}
 }
 
-// assertNotLeaving reads the board itself, not the index that the choice was
-// made from, so that an index that isn't kept up to date shows.
+// assertNotLeaving checks that a leaving target gets no calls after
+// LeavingGrace. It reads the board itself, not the index that the choice was
+// made from, so that an outdated index is detected.
 func (s *service) assertNotLeaving(choice routing.Choice) {
 	t, ok := s.gate.options.Board.Targets.Get(choice.Target.ID)
 	if !ok || !t.Leaving {
 		return
 	}
-	late := s.now.Sub(t.LeavingSince)
-	s.gate.options.Check.Check(late <= s.limits.LeavingGrace, invariant.NoLeavingDispatch,
-		"target %s was chosen %s after it began to leave", t.ID, late)
+	elapsed := s.now.Sub(t.LeavingSince)
+	s.gate.options.Check.Check(elapsed <= s.limits.LeavingGrace, invariant.NoLeavingDispatch,
+		"target %s was chosen %s after it began to leave", t.ID, elapsed)
 }
 
-func (s *service) release(done *slot, r Result) {
+func (s *service) release(released *slot, r Result) {
 	s.lock(s.gate.options.Clock)
 	if r.Duration == 0 {
-		r.Duration = s.now.Sub(done.began)
+		r.Duration = s.now.Sub(released.began)
 	}
-	s.learn(done, r)
-	done.state.end(done.began)
+	s.recordResult(released, r)
+	released.state.end(released.began)
 	s.inFlight--
-	s.queue.tags.correct(done.organisation, r.Duration.Seconds()-done.cost)
-	s.pump()
+	s.queue.tags.correct(released.organisation, r.Duration.Seconds()-released.cost)
+	s.dispatchWaiting()
 	s.unlock()
 	if r.Leaving {
-		s.gate.markLeaving(done.choice.Target.ID, done.began)
+		s.gate.markLeaving(released.choice.Target.ID, released.began)
 	}
 }
 
-// learn takes in what a result says of the target and of the stage.
-func (s *service) learn(done *slot, r Result) {
-	t := done.state
-	st := s.stage(done.stage)
+// recordResult updates the ejection state, the limiter and the distributions
+// of the target and the stage with the result.
+func (s *service) recordResult(released *slot, r Result) {
+	t := released.state
+	st := s.stage(released.stage)
 	typical := st.median
 	if t.ejection.observe(r, typical, s.now, s.limits) {
-		s.eject(done.choice.Target.ID, t)
+		s.eject(released.choice.Target.ID, t)
 	}
-	load, _ := s.gate.options.Board.Loads.Get(done.choice.Target.ID)
-	if ratio, sign := st.slowness(r); sign > 0 && t.ejection.observePace(ratio, sign, s.limits) {
-		s.eject(done.choice.Target.ID, t)
+	load, _ := s.gate.options.Board.Loads.Get(released.choice.Target.ID)
+	if ratio, score := st.slowness(r); score > 0 && t.ejection.observePace(ratio, score, s.limits) {
+		s.eject(released.choice.Target.ID, t)
 	}
 	t.limiter.observe(r, t.inFlight(), load.Report.Slots, s.now, s.limits)
 	t.measure(r, s.now, s.limits)
@@ -103,17 +105,17 @@
 	s.all.measure(r, s.now, s.limits)
 }
 
-func (s *service) pace(of *slot, perToken time.Duration) {
+func (s *service) recordPace(granted *slot, perToken time.Duration) {
 	s.lock(s.gate.options.Clock)
 	defer s.unlock()
-	usual := s.usual(s.stage(of.stage)).PerToken
-	if usual > 0 && of.state.ejection.observePace(float64(perToken)/float64(usual), behindPace, s.limits) {
-		s.eject(of.choice.Target.ID, of.state)
+	usual := s.typical(s.stage(granted.stage)).PerToken
+	if usual > 0 && granted.state.ejection.observePace(float64(perToken)/float64(usual), slowPaceScore, s.limits) {
+		s.eject(granted.choice.Target.ID, granted.state)
 	}
 }
 
-// eject leaves a straggler out unless too much of the service is out already:
-// when everything is slow, the fault isn't the targets'.
+// eject ejects a straggler unless too large a share of the service's targets
+// would then be ejected: when everything is slow, the targets are not at fault.
 func (s *service) eject(id string, t *targetState) {
 	if t.ejection.ejected(s.now) {
 		return
@@ -122,18 +124,18 @@
 	if listed == nil {
 		return
 	}
-	out := 1
+	ejected := 1
 	for _, other := range s.targets {
 		if other.ejection.ejected(s.now) {
-			out++
+			ejected++
 		}
 	}
-	if float64(out) > s.limits.EjectShare*float64(len(listed.All)) {
+	if float64(ejected) > s.limits.EjectShare*float64(len(listed.All)) {
 		s.gate.counts.ejectionsHeld.Add(1)
 		return
 	}
 	failures, slowness := t.ejection.failures, t.ejection.slowness
 	d := t.ejection.eject(s.now, s.limits)
 	s.gate.counts.ejections.Add(1)
-	s.news = append(s.news, news{kind: newsEjected, target: id, service: s.name, failures: failures, slowness: slowness, duration: d})
+	s.pendingLog = append(s.pendingLog, logEntry{kind: logEjected, target: id, service: s.name, failures: failures, slowness: slowness, duration: d})
 }
--- a/internal/admission/target.go
+++ b/internal/admission/target.go
@@ -7,19 +7,20 @@
 	"lynxhill.example/lynxhill/internal/routing"
 )
 
-// medianEvery is after how many samples a cached quantile is computed anew.
-const medianEvery = 8
+// quantileRefreshEvery is the number of samples after which cached quantiles are
+// recomputed.
+const quantileRefreshEvery = 8
 
-// targetState is what this instance knows of a target from its own calls. It
-// is guarded by the lock of its service.
+// targetState holds what this instance has measured in its own calls of a target.
+// It is guarded by the lock of its service.
 type targetState struct {
-	silences
-	starts   []time.Time // of the attempts in flight
+	waitTimes
+	starts   []time.Time // start times of the attempts in flight
 	limiter  limiter
 	ejection ejection
 	duration distribution
-	median   time.Duration
-	pending  int // samples since median was computed
+	median   time.Duration // of duration
+	pending  int           // samples since median was computed
 }
 
 func (t *targetState) inFlight() int { return len(t.starts) }
@@ -48,19 +49,19 @@
 }
 
 func (t *targetState) measure(r Result, now time.Time, l *GateLimits) {
-	t.addSilences(r, now, l)
+	t.addWaitTimes(r, now, l)
 	if !r.OK {
 		return
 	}
 	t.duration.add(r.Duration, now, l.Window, l.MinSamples)
 	t.pending++
-	if t.pending >= medianEvery || t.median == 0 {
+	if t.pending >= quantileRefreshEvery || t.median == 0 {
 		t.pending = 0
-		t.median, _ = t.duration.quantile(0.5, medianEvery)
+		t.median, _ = t.duration.quantile(0.5, quantileRefreshEvery)
 	}
 }
 
-// Local implements routing.LocalView. The service's lock is held.
+// Local implements routing.LocalView. The caller must hold the service's lock.
 func (s *service) Local(id string, load board.Load, reported bool) routing.Local {
 	t := s.targets[id]
 	if t == nil {
@@ -70,17 +71,18 @@
 	if reported {
 		local.SentSince = t.sentSince(load.At)
 	}
-	local.Ejected = t.ejection.out(s.now, local.InFlight)
-	local.Full = local.InFlight >= t.limiter.room(load.Report.Slots, s.limits) ||
+	local.Ejected = t.ejection.excluded(s.now, local.InFlight)
+	local.Full = local.InFlight >= t.limiter.maxInFlight(load.Report.Slots, s.limits) ||
 		reported && s.reportedFull(load, local.SentSince, t.median)
 	return local
 }
 
-// reportedFull reports whether a target says itself that it is full. At size
-// an instance has fewer calls at a target than one, so that its own limit says
-// little and the report has to hold back. A report older than two calls, or
-// FreshLoad, says nothing of now: otherwise one report from a burst would keep
-// a target idle until the next.
+// reportedFull reports whether the load report of a target says that it is full.
+// In a large fleet an instance has less than one call in flight at a target on
+// average, so that its own limiter says little and the report has to limit the
+// calls. A report that is older than two call durations or FreshLoad is ignored:
+// otherwise one report from a burst would keep a target idle until the next
+// report.
 func (s *service) reportedFull(load board.Load, sentSince int, median time.Duration) bool {
 	r := load.Report
 	if r.Slots <= 0 {
--- a/internal/admission/timeouts.go
+++ b/internal/admission/timeouts.go
@@ -8,11 +8,12 @@
 
 const (
 	timeoutQuantile = 0.99
-	timeoutFactor   = 3 // times the quantile: rarer than one call in hundreds
+	timeoutFactor   = 3 // times the quantile, so that fewer than one normal call in hundreds times out
 )
 
-// Timeouts implements Gate: from the target's own distribution, from its
-// service's while the target has too few samples, else the ceilings.
+// Timeouts implements Gate. It uses the distribution of the target, that of the
+// stage over all targets while the target has too few samples, or else the
+// ceilings.
 func (g *ServiceGate) Timeouts(choice routing.Choice, query routing.Query) Timeouts {
 	s := g.service(choice.Provider.Service)
 	s.lock(g.options.Clock)
@@ -23,39 +24,40 @@
 		t = &targetState{}
 	}
 	st := s.stage(query.Stage.Name)
-	first, firstKnown := firstOf(l, timeoutQuantile, &t.firstByte, &st.firstByte)
-	gap, gapKnown := firstOf(l, timeoutQuantile, &t.gap, &st.gap)
+	first, firstKnown := firstQuantile(l, timeoutQuantile, &t.firstByte, &st.firstByte)
+	gap, gapKnown := firstQuantile(l, timeoutQuantile, &t.gap, &st.gap)
 	out := Timeouts{
 		FirstByte: clamp(timeoutFactor*first, firstKnown, l.FirstByteFloor, l.FirstByteCeil),
 		Progress:  clamp(timeoutFactor*gap, gapKnown, l.ProgressFloor, l.ProgressCeil),
 	}
 	if query.Stage.Idempotent {
-		out.HedgeAt = s.hedgeAt(st)
+		out.HedgeAt = s.hedgeDelay(st)
 	}
-	out.Usual = s.usual(st)
+	out.Usual = s.typical(st)
 	return out
 }
 
-// usual is the stage's, or the whole service's while too little of the stage is
-// measured: a token takes much the same time in each. It returns nothing until
-// pace and first byte are both measured.
-func (s *service) usual(st *stageStats) Usual {
-	if st.pace == 0 || st.first == 0 {
+// typical returns the typical values of the stage, or of the whole service while
+// the stage has too few samples: the time per token is similar in all stages. It
+// returns zero until the time per token and the time to the first byte are both
+// measured.
+func (s *service) typical(st *stageStats) Usual {
+	if st.medianPerToken == 0 || st.medianFirstByte == 0 {
 		st = &s.all
 	}
-	if st.pace == 0 || st.first == 0 {
+	if st.medianPerToken == 0 || st.medianFirstByte == 0 {
 		return Usual{}
 	}
-	return Usual{FirstByte: st.first, PerToken: st.pace, Tokens: int(st.tokens)}
+	return Usual{FirstByte: st.medianFirstByte, PerToken: st.medianPerToken, Tokens: int(st.tokens)}
 }
 
-// hedgeAt comes from the stage over all targets: a straggler's own
-// distribution would call its slowness usual. With a quarter of the targets
-// slow, the 95% quantile is theirs; the median is not, so a multiple of it
-// bounds the wait.
-func (s *service) hedgeAt(st *stageStats) time.Duration {
+// hedgeDelay derives the delay from the stage over all targets: by a straggler's
+// own distribution, its slowness would be normal. With a quarter of the targets
+// slow, the 95% quantile is theirs; the median is not, so a multiple of the
+// median bounds the delay.
+func (s *service) hedgeDelay(st *stageStats) time.Duration {
 	wait, known := st.firstByte.quantile(s.limits.HedgeQuantile, s.limits.MinSamples)
-	bound := time.Duration(s.limits.EjectSlowness * float64(st.first))
+	bound := time.Duration(s.limits.EjectSlowness * float64(st.medianFirstByte))
 	switch {
 	case !known && bound == 0:
 		return 0
@@ -67,7 +69,7 @@
 	return max(wait, s.limits.HedgeFloor)
 }
 
-func firstOf(l *GateLimits, q float64, from ...*distribution) (time.Duration, bool) {
+func firstQuantile(l *GateLimits, q float64, from ...*distribution) (time.Duration, bool) {
 	for _, d := range from {
 		if v, ok := d.quantile(q, l.MinSamples); ok {
 			return v, true
--- a/internal/admission/virtualtime.go
+++ b/internal/admission/virtualtime.go
@@ -1,22 +1,22 @@
 package admission
 
-// tagsKept is how many organisations' tags are kept before those that say
-// nothing any more are dropped.
-const tagsKept = 1024
+// minPruneSize is the lowest number of finish tags at which expired ones are
+// pruned.
+const minPruneSize = 1024
 
-// virtualTime is start-time fair queueing over organisations. Each slot is
-// charged to its organisation in seconds of service; whose tag is lowest goes
-// next. An organisation that was idle starts at the present virtual time, so
-// that it neither saves up credit nor pays for slots it used while nobody
-// waited.
+// virtualTime implements start-time fair queueing over organisations. Each slot
+// is charged to its organisation in seconds of service, and the organisation
+// with the lowest start tag is served next. An organisation that was idle starts
+// at the current virtual time, so that it neither accumulates credit nor pays
+// for slots that it used while the queue was empty.
 type virtualTime struct {
 	now     float64
-	finish  map[string]float64 // by organisation
-	pruneAt int
+	finish  map[string]float64 // finish tag by organisation
+	pruneAt int                // number of tags at which prune runs next
 }
 
 func newVirtualTime() virtualTime {
-	return virtualTime{finish: make(map[string]float64), pruneAt: tagsKept}
+	return virtualTime{finish: make(map[string]float64), pruneAt: minPruneSize}
 }
 
 func (v *virtualTime) start(organisation string) float64 {
@@ -32,21 +32,23 @@
 	}
 }
 
-// correct replaces the estimated cost of a slot by the measured one.
-func (v *virtualTime) correct(organisation string, by float64) {
+// correct adjusts the charge of a slot by the difference between its measured
+// and its estimated cost.
+func (v *virtualTime) correct(organisation string, delta float64) {
 	if finish, ok := v.finish[organisation]; ok {
-		v.finish[organisation] = finish + by
-	} else if by > 0 {
-		v.finish[organisation] = v.now + by
+		v.finish[organisation] = finish + delta
+	} else if delta > 0 {
+		v.finish[organisation] = v.now + delta
 	}
 }
 
-// prune drops tags in the past: start gives the present for them anyway.
+// prune deletes the finish tags in the past: start returns the current virtual
+// time for them anyway.
 func (v *virtualTime) prune() {
 	for organisation, finish := range v.finish {
 		if finish <= v.now {
 			delete(v.finish, organisation)
 		}
 	}
-	v.pruneAt = max(tagsKept, 2*len(v.finish))
+	v.pruneAt = max(minPruneSize, 2*len(v.finish))
 }
