--- a/internal/allowance/allowance.go
+++ b/internal/allowance/allowance.go
@@ -10,36 +10,37 @@
 // Options of an Allowance.
 type Options struct {
 	Self string
-	// Instances returns the ids of all instances that were ever heard of, dead
-	// ones and this one included, in order; nil while they are not known.
+	// Instances returns the sorted ids of all instances that were ever known,
+	// including dead ones and this one; nil while the list is not known.
 	Instances func() []string
 	Bound     Bound
 	Clock     clock.Clock
 }
 
-// Allowance is what this instance may send to targets of one bound. It is safe
-// for concurrent use.
+// Allowance limits what this instance may send to targets under one Bound. It
+// is safe for concurrent use.
 type Allowance struct {
-	o     Options
-	began time.Time
+	o         Options
+	startedAt time.Time
 
-	mu        sync.Mutex // guards all below
-	instances []string
-	looked    time.Time // when Options.Instances was last asked
-	shares    map[int]*Shares
-	sent      Window
+	mu          sync.Mutex // guards all below
+	instances   []string
+	refreshedAt time.Time // when Options.Instances was last called
+	shares      map[int]*Shares
+	sent        Window
 }
 
-// NewAllowance returns the allowance of an instance that starts now.
+// NewAllowance returns the allowance of an instance that starts now. The
+// instance may send nothing in the first Span.
 func NewAllowance(o Options) *Allowance {
-	return &Allowance{o: o, began: o.Clock.Now(), shares: make(map[int]*Shares), sent: NewWindow(o.Bound.Span)}
+	return &Allowance{o: o, startedAt: o.Clock.Now(), shares: make(map[int]*Shares), sent: NewWindow(o.Bound.Span)}
 }
 
 // Span is the time over which requests are counted.
 func (a *Allowance) Span() time.Duration { return a.o.Bound.Span }
 
-// Share returns how many requests the instance, this one or another, may send
-// in a Span to the target with the rate.
+// Share returns how many requests the given instance may send per Span to the
+// target. rate is the target's limit in requests a second over all instances.
 func (a *Allowance) Share(instance, target string, rate float64) int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -50,26 +51,27 @@
 	limit := a.o.Bound.Requests(rate)
 	s := a.shares[limit]
 	if s == nil {
-		if len(a.shares) >= maxLimits {
+		if len(a.shares) >= maxCachedLimits {
 			clear(a.shares)
 		}
 		s = &Shares{}
 		a.shares[limit] = s
 	}
-	s.Set(a.known(), limit)
+	s.Set(a.currentInstances(), limit)
 	return s.Share(instance, target)
 }
 
-// maxLimits is how many different limits are remembered with their shares.
-const maxLimits = 64
+// maxCachedLimits bounds the cached Shares, of which there is one per limit; the
+// cache is cleared when it is full.
+const maxCachedLimits = 64
 
-// knownFor is how long the instances are taken to be the same: a dispatcher asks
-// for many targets with each placement.
-const knownFor = 250 * time.Millisecond
+// instancesTTL is how long the list of instances is cached: a dispatcher queries
+// the shares of many targets for each placement.
+const instancesTTL = 250 * time.Millisecond
 
-func (a *Allowance) known() []string {
-	if now := a.o.Clock.Now(); a.looked.IsZero() || now.Sub(a.looked) >= knownFor {
-		a.instances, a.looked = a.o.Instances(), now
+func (a *Allowance) currentInstances() []string {
+	if now := a.o.Clock.Now(); a.refreshedAt.IsZero() || now.Sub(a.refreshedAt) >= instancesTTL {
+		a.instances, a.refreshedAt = a.o.Instances(), now
 	}
 	return a.instances
 }
@@ -82,10 +84,11 @@
 }
 
 func (a *Allowance) may(target string, rate float64, now time.Time) bool {
-	return now.Sub(a.began) >= a.o.Bound.Span && a.sent.Count(target, now) < a.share(a.o.Self, target, rate)
+	return now.Sub(a.startedAt) >= a.o.Bound.Span && a.sent.Count(target, now) < a.share(a.o.Self, target, rate)
 }
 
-// Take is May and, if so, counts the request, which is to be sent at once.
+// Take reports whether this instance may send a request to the target now, and
+// if so counts it as sent. The caller must send the request at once.
 func (a *Allowance) Take(target string, rate float64) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// The shares of all instances together are the limit at most, whatever their
-// number, and are spread over instances and targets.
+// The sum of the shares of all instances does not exceed the limit for any
+// number of instances, and the shares are spread over instances and targets.
 func TestSharesSumToTheLimit(t *testing.T) {
 	for _, n := range []int{1, 2, 7, 8, 21, 22, 23, 58, 78, 295, 370} {
 		instances := names(n)
@@ -48,14 +48,14 @@
 				byInstance[i] += share
 			}
 			if sum > 22 || sum < 11 {
-				t.Errorf("%d instances: %d for a target, want 22 or nearly", n, sum)
+				t.Errorf("%d instances: the shares of a target sum to %d, want 11 to 22", n, sum)
 			}
 		}
 		if n <= 78 && len(byInstance) == n && slices.Min(values(byInstance)) == 0 {
-			t.Errorf("%d instances: one has no share of any of 50 targets", n)
+			t.Errorf("%d instances: an instance has no share of any of 50 targets", n)
 		}
 		if s.Share("stranger", "target 0") != 0 {
-			t.Errorf("%d instances: one that nobody knows has a share", n)
+			t.Errorf("%d instances: an instance that is not in the list has a share", n)
 		}
 	}
 }
@@ -68,37 +68,39 @@
 	return list
 }
 
-// incarnation is one life of an instance.
+// incarnation is one run of an instance, from start to crash.
 type incarnation struct {
 	*Allowance
-	heard []string
+	instances []string
 }
 
-// sendings plays instances that send to a target as much as they may at the
-// rate, at random moments. Instances are cut off from others, hold them for dead, die and
-// start again at any moment; a few lack some of the others in their lists. It
-// returns the largest number of requests in any such time.
-func sendings(t *testing.T, seed uint64, n, lacking int, bound Bound, rate float64, within time.Duration) int {
+// maxSentWithin simulates n instances that send to one target, at random times,
+// as much as they are allowed at the rate. Instances share no state, as during a
+// partition, and restart at random times. If missing is above 0, the lists of some
+// of them lack the first missing instances, except themselves. maxSentWithin
+// returns the largest number of requests sent within any period of the length
+// within.
+func maxSentWithin(t *testing.T, seed uint64, n, missing int, bound Bound, rate float64, within time.Duration) int {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 11))
 	mock := quartz.NewMock(t)
 	all := names(n)
 	start := func(i int) *incarnation {
-		life := &incarnation{heard: all}
-		if rng.IntN(4) == 0 && lacking > 0 {
-			life.heard = slices.DeleteFunc(slices.Clone(all), func(id string) bool {
-				return id != all[i] && slices.Index(all, id) < lacking
+		started := &incarnation{instances: all}
+		if rng.IntN(4) == 0 && missing > 0 {
+			started.instances = slices.DeleteFunc(slices.Clone(all), func(id string) bool {
+				return id != all[i] && slices.Index(all, id) < missing
 			})
 		}
-		life.Allowance = NewAllowance(Options{
-			Self: all[i], Clock: mock, Instances: func() []string { return life.heard },
+		started.Allowance = NewAllowance(Options{
+			Self: all[i], Clock: mock, Instances: func() []string { return started.instances },
 			Bound: bound,
 		})
-		return life
+		return started
 	}
-	lives := make([]*incarnation, n)
-	for i := range lives {
-		lives[i] = start(i)
+	running := make([]*incarnation, n)
+	for i := range running {
+		running[i] = start(i)
 	}
 	began := mock.Now()
 	var sent []time.Duration
@@ -106,9 +108,9 @@
 		mock.Set(mock.Now().Add(time.Duration(rng.Int64N(int64(within / 500)))))
 		i := rng.IntN(n)
 		if rng.IntN(50) == 0 {
-			lives[i] = start(i)
+			running[i] = start(i)
 		}
-		if lives[i].Take("target", rate) {
+		if running[i].Take("target", rate) {
 			sent = append(sent, mock.Now().Sub(began))
 		}
 	}
@@ -120,42 +122,41 @@
 	return most
 }
 
-// Symptom: targets crash again right after their start, each time.
-// Events: a target is cold; instances are cut off from each other, die, start
-// again and send as much as they find they may.
-// Cause: each counts by itself, or by whom it holds for alive, so that the sum
-// grows with the number of those that are cut off or start again.
-// What is borne is 15 requests a second times 1.5, and 5.
-func TestTheSumKeepsToTheBound(t *testing.T) {
+// Guards against an overload of targets that have just started, which makes
+// them crash again after every start. It comes about when instances are
+// partitioned from each other or restart, and each enforces the limit alone or
+// computes its share from the instances it considers alive: the sum then grows
+// with the number of partitioned or restarted instances. Targets tolerate 1.5
+// times their rate of 15 requests a second, and 5 requests more.
+func TestSumOfSharesStaysWithinTheBound(t *testing.T) {
 	const bound, tolerance = 22, 5
 	cold := Cold(func() float64 { return 1.5 })
 	parameters := gopter.DefaultTestParametersWithSeed(1)
 	parameters.MinSuccessfulTests = 12
 	properties := gopter.NewProperties(parameters)
-	properties.Property("instances that have heard of the same", prop.ForAll(
-		func(seed uint64, n int) bool { return sendings(t, seed, n, 0, cold, 15, time.Second) <= bound },
+	properties.Property("all instances have the same list", prop.ForAll(
+		func(seed uint64, n int) bool { return maxSentWithin(t, seed, n, 0, cold, 15, time.Second) <= bound },
 		gen.UInt64(), gen.OneConstOf(1, 3, 8, 58, 78, 295)))
-	properties.Property("some that lack as many as the tolerance", prop.ForAll(
+	properties.Property("some lists miss as many instances as the tolerance", prop.ForAll(
 		func(seed uint64, n int) bool {
-			return sendings(t, seed, n, tolerance, cold, 15, time.Second) <= bound+tolerance
+			return maxSentWithin(t, seed, n, tolerance, cold, 15, time.Second) <= bound+tolerance
 		},
 		gen.UInt64(), gen.OneConstOf(58, 78, 295)))
 	properties.TestingRun(t)
 }
 
-// Symptom: a target that names how many requests a second it takes gets more,
-// from instances that all know it.
-// Events and cause: as of cold targets; limits are low, and there are more
-// instances than requests in a second.
-// What is borne in 4 s is 1.5 times what the limit allows, and 5.
+// Guards against a target that states a limit in requests a second and receives
+// more, although all instances know the limit. It comes about as for cold
+// targets; limits are low, and there are more instances than requests a second.
+// Within 4 s a target tolerates 1.5 times its limit, and 5 requests more.
 func TestTheSumKeepsToANamedLimit(t *testing.T) {
 	const within, slack, extra = 4 * time.Second, 1.5, 5
 	parameters := gopter.DefaultTestParametersWithSeed(1)
 	parameters.MinSuccessfulTests = 20
 	properties := gopter.NewProperties(parameters)
-	properties.Property("some lack as many as the extra requests", prop.ForAll(
+	properties.Property("some lists miss as many instances as there are extra requests", prop.ForAll(
 		func(seed uint64, n int, rate float64) bool {
-			most := sendings(t, seed, n, extra, Named(), rate, within)
+			most := maxSentWithin(t, seed, n, extra, Named(), rate, within)
 			return float64(most) <= slack*rate*within.Seconds()+extra
 		},
 		gen.UInt64(), gen.OneConstOf(1, 3, 7, 8, 58, 78, 295), gen.OneConstOf(0.0, 0.1, 0.5, 1.0, 1.2, 7.5, 40.0)))
@@ -173,10 +174,10 @@
 	}
 }
 
-// The other way that was built and not kept: each dispatcher sends up to half
-// of the bound, since two schedule for a target for a while. It needs no shares,
-// and breaks the bound as soon as three do, as when a part of the fleet is cut
-// off one by one.
+// Documents a rejected alternative: each dispatcher sends up to half of the
+// limit, since two dispatchers may schedule for the same target for a while. It
+// needs no shares, but exceeds the limit as soon as three dispatchers schedule
+// for a target, for example when instances are partitioned one after another.
 func TestHalfOfTheBoundEachIsNotEnough(t *testing.T) {
 	const bound, each = 22, 11
 	for dispatchers := 1; dispatchers <= 4; dispatchers++ {
@@ -193,20 +194,21 @@
 			}
 		}
 		if within := sum <= bound; within != (dispatchers <= 2) {
-			t.Errorf("%d dispatchers send %d, the bound is %d", dispatchers, sum, bound)
+			t.Errorf("%d dispatchers send %d requests, the limit is %d", dispatchers, sum, bound)
 		}
 	}
 }
 
-// An instance that starts again has forgotten what it sent.
-func TestNothingIsSentInTheFirstSpan(t *testing.T) {
+// A restarted instance does not know what it sent before the restart, so it
+// sends nothing in its first span.
+func TestNothingIsSentInTheFirstSpanAfterAStart(t *testing.T) {
 	mock := quartz.NewMock(t)
 	a := NewAllowance(Options{
 		Self: "i-000", Clock: mock, Instances: func() []string { return names(1) },
 		Bound: Cold(func() float64 { return 1 }),
 	})
 	if a.Take("target", 15) {
-		t.Error("sent at once")
+		t.Error("a request was allowed right after the start")
 	}
 	mock.Set(mock.Now().Add(ColdSpan))
 	for k := range 20 {
@@ -216,6 +218,6 @@
 	}
 	mock.Set(mock.Now().Add(ColdSpan))
 	if !a.Take("target", 15) {
-		t.Error("nothing is sent a span later")
+		t.Error("no request was allowed one span later")
 	}
 }
--- a/internal/allowance/shares.go
+++ b/internal/allowance/shares.go
@@ -8,30 +8,32 @@
 	"lynxhill.example/lynxhill/internal/control/rendezvous"
 )
 
-// maxSenders is how many targets' senders are remembered; they are worked out
-// again if there are more.
-const maxSenders = 4096
+// maxCachedSenders bounds the targets whose senders are cached; the cache is
+// cleared when it is full.
+const maxCachedSenders = 4096
 
-// Shares knows which instance may send how much to which target. It is not safe
-// for concurrent use.
+// Shares computes how many requests each instance may send to each target under
+// one limit. It is not safe for concurrent use.
 type Shares struct {
-	instances []string            // that were ever heard of, in order
-	senders   map[string][]string // by target: those with a share, if not all have one
+	instances []string            // all that were ever known, sorted
+	senders   map[string][]string // by target: instances that may send, if not all may
 	limit     int
 }
 
-// Set takes in the instances, alive or not, in order, and the limit of a
-// target. Dead ones count: who holds them for dead may be cut off from them.
+// Set sets the sorted ids of the instances, alive or not, and the limit of a
+// target in requests per span. Instances considered dead are included, since
+// they may be alive on the other side of a network partition.
 func (s *Shares) Set(instances []string, limit int) {
-	if limit == s.limit && slices.Equal(instances, s.instances) && len(s.senders) < maxSenders {
+	if limit == s.limit && slices.Equal(instances, s.instances) && len(s.senders) < maxCachedSenders {
 		return
 	}
 	s.instances, s.limit, s.senders = slices.Clone(instances), limit, make(map[string][]string)
 }
 
-// Share returns how many requests the instance may send to the target in a
-// span: an equal part of the limit, or where there are more instances than it
-// allows requests, one request for as many instances as it allows.
+// Share returns how many requests the instance may send to the target per
+// span: an equal part of the limit, rounded down. If there are more instances
+// than the limit allows requests, it is 1 for as many instances as the limit
+// allows, chosen by rendezvous hashing, and 0 for the others.
 func (s *Shares) Share(instance, target string) int {
 	if !slices.Contains(s.instances, instance) {
 		return 0
@@ -50,17 +52,18 @@
 	return 0
 }
 
-// Window counts what was sent within the last span, by whatever key. It is not
-// safe for concurrent use.
+// Window counts the requests sent within the last span, by key. It is not safe
+// for concurrent use.
 type Window struct {
 	span time.Duration
 	sent map[string][]time.Time
 }
 
-// NewWindow returns a window in which nothing was sent.
+// NewWindow returns an empty window of the given length.
 func NewWindow(span time.Duration) Window { return Window{span: span} }
 
-// Count returns how much was sent for the key.
+// Count returns how many requests were sent for the key within the span before
+// now.
 func (w *Window) Count(key string, now time.Time) int {
 	times := slices.DeleteFunc(w.sent[key], func(at time.Time) bool { return now.Sub(at) >= w.span })
 	if len(times) == 0 {
@@ -71,7 +74,7 @@
 	return len(times)
 }
 
-// Add counts one more.
+// Add counts one request for the key at the time now.
 func (w *Window) Add(key string, now time.Time) {
 	if w.sent == nil {
 		w.sent = make(map[string][]time.Time)
@@ -82,6 +85,6 @@
 	w.sent[key] = append(w.sent[key], now)
 }
 
-// maxKeys is the number of keys from which on those that nothing was sent for
-// lately are dropped.
+// maxKeys is the number of keys at which Add first removes the keys without a
+// request in the last span.
 const maxKeys = 4096
