--- a/internal/crashguard/crashguard.go
+++ b/internal/crashguard/crashguard.go
@@ -1,7 +1,7 @@
-// Package crashguard finds requests that crash the targets that run them. It
-// counts the distinct targets that died under one request fingerprint; after
-// a few of them the request is refused at every instance, also under a new
-// idempotency key.
+// Package crashguard detects requests that crash the targets that run them. It
+// counts the distinct targets that crashed while they ran requests with the
+// same fingerprint. When the count reaches a limit, every instance refuses the
+// request, also under a new idempotency key.
 package crashguard
 
 import (
@@ -24,12 +24,13 @@
 // Defaults of Options.
 const (
 	DefaultLimit = 2
-	DefaultKeep  = 10 * time.Minute
-	// maxRows bounds the fingerprints that are remembered. Each needs a target
-	// that died, so the bound is met only by a flood of deaths.
+	DefaultTTL   = 10 * time.Minute
+	// maxRows bounds the fingerprints in the table. Each row needs a crashed
+	// target, so only a very large number of crashes reaches the bound.
 	maxRows = 4096
-	// fingerprintBytes of the hash are kept: 128 bits, so that a caller cannot
-	// make another organisation's request look like its own crashing one.
+	// fingerprintBytes is the length of the truncated hash. 128 bits keep a
+	// caller from crafting a crashing request whose fingerprint collides with the
+	// request of another organisation.
 	fingerprintBytes = 16
 )
 
@@ -37,32 +38,34 @@
 type Options struct {
 	Board *board.Board
 	Clock clock.Clock
-	// Limit is the number of distinct targets that may die before the request
-	// is refused.
+	// Limit is the number of distinct crashed targets at which the request is
+	// refused.
 	Limit int
-	// Keep is for how long a death counts and a refusal holds.
+	// Keep is how long a crash counts and a refusal stays in force.
 	Keep time.Duration
-	// Alive asks whether the process that served a broken attempt is still
-	// there. nil counts no deaths.
+	// Alive checks whether the process that served a broken attempt is still
+	// running. If it is nil, Broke and Died detect no crashes.
 	Alive   func(ctx context.Context, target stagecall.Target) bool
 	Logger  *event.Logger
 	Metrics *metrics.Registry
 }
 
-// Guard counts deaths. The board's table Refused holds the rows, also those
-// below the limit. A nil Guard refuses nothing.
+// Guard counts crashed targets by request fingerprint. The rows, including those
+// below the limit, are in the board's table Refused. A nil Guard refuses
+// nothing.
 type Guard struct {
 	opts Options
 
-	mu      sync.Mutex                // guards all below
-	running map[string]map[string]int // target id -> suspected fingerprint -> attempts
-	cursor  string                    // fingerprint last sent in a digest
-	dead    map[string]time.Time      // target id -> until when it is kept off
+	mu              sync.Mutex                // guards all below
+	running         map[string]map[string]int // target id -> suspected fingerprint -> attempts in flight
+	cursor          string                    // fingerprint last sent in a digest
+	recentlyCrashed map[string]time.Time      // id of a crashed target -> until when it is avoided
 }
 
 var _ gossip.Part = (*Guard)(nil)
 
-// New returns a guard.
+// New returns a guard. It replaces zero fields by defaults, except Alive, Logger
+// and Metrics.
 func New(opts Options) *Guard {
 	if opts.Board == nil {
 		opts.Board = board.New()
@@ -74,13 +77,14 @@
 		opts.Limit = DefaultLimit
 	}
 	if opts.Keep <= 0 {
-		opts.Keep = DefaultKeep
+		opts.Keep = DefaultTTL
 	}
-	return &Guard{opts: opts, running: make(map[string]map[string]int), dead: make(map[string]time.Time)}
+	return &Guard{opts: opts, running: make(map[string]map[string]int), recentlyCrashed: make(map[string]time.Time)}
 }
 
-// Fingerprint identifies a request by its profile and input, whatever its key
-// and organisation.
+// Fingerprint returns the hex-encoded fingerprint of a request. It depends on
+// the profile and the input only, not on the idempotency key or the
+// organisation.
 func Fingerprint(profile string, input []byte) string {
 	hash := sha256.New()
 	hash.Write([]byte(profile))
@@ -89,16 +93,16 @@
 	return hex.EncodeToString(hash.Sum(nil)[:fingerprintBytes])
 }
 
-// Refused reports whether so many targets died under the fingerprint that it
-// may not run again.
+// Refused reports whether the number of targets that crashed under the
+// fingerprint has reached the limit, so that the request may not run again.
 func (g *Guard) Refused(fingerprint string) bool {
-	return g.deaths(fingerprint) >= g.limit()
+	return g.crashes(fingerprint) >= g.limit()
 }
 
-// Suspect reports whether any target died under the fingerprint. A suspected
-// request is not hedged: a hedge would kill two targets at once.
+// Suspect reports whether any target crashed under the fingerprint. A suspected
+// request is not hedged: a hedge could crash two targets at once.
 func (g *Guard) Suspect(fingerprint string) bool {
-	return g.deaths(fingerprint) > 0
+	return g.crashes(fingerprint) > 0
 }
 
 func (g *Guard) limit() int {
@@ -108,7 +112,7 @@
 	return g.opts.Limit
 }
 
-func (g *Guard) deaths(fingerprint string) int {
+func (g *Guard) crashes(fingerprint string) int {
 	if g == nil {
 		return 0
 	}
@@ -119,9 +123,9 @@
 	return len(row.Targets)
 }
 
-// Broke is told of an attempt that broke. It asks whether the target died and
-// counts the death if so. A broken connection alone is no death.
-func (g *Guard) Broke(ctx context.Context, fingerprint string, target stagecall.Target) (died bool) {
+// Broke handles an attempt that broke off: it checks whether the target crashed
+// and if so counts the crash. A broken connection alone is not counted.
+func (g *Guard) Broke(ctx context.Context, fingerprint string, target stagecall.Target) (crashed bool) {
 	if !g.Died(ctx, target) {
 		return false
 	}
@@ -129,8 +133,8 @@
 	return true
 }
 
-// Died asks whether the target died. One that does not say within the context's
-// time did not.
+// Died checks whether the target has crashed. It returns false if the check does
+// not complete before the context ends.
 func (g *Guard) Died(ctx context.Context, target stagecall.Target) bool {
 	if g == nil || g.opts.Alive == nil {
 		return false
@@ -138,18 +142,19 @@
 	return !g.opts.Alive(ctx, target) && ctx.Err() == nil
 }
 
-// TargetDied counts a target that died while it ran the request.
+// TargetDied counts a target that crashed while it ran the request.
 func (g *Guard) TargetDied(fingerprint, targetID string) {
 	if g == nil {
 		return
 	}
-	g.opts.Metrics.Counter(metricDeaths).Add(1)
-	g.noteDead([]string{targetID})
+	g.opts.Metrics.Counter(metricCrashes).Add(1)
+	g.recordCrashed([]string{targetID})
 	g.merge(fingerprint, []string{targetID}, g.opts.Keep)
 }
 
-// Survived is told that a request was answered whole. If it is only suspected,
-// the suspicion is dropped: it shared a target with another that crashed it.
+// Survived records that a request was answered completely. If the request is
+// suspected but not yet refused, its row is deleted: its attempt ran on the same
+// target as another request that caused the crash.
 func (g *Guard) Survived(fingerprint string) {
 	if g == nil || !g.Suspect(fingerprint) || g.Refused(fingerprint) {
 		return
@@ -157,14 +162,15 @@
 	g.opts.Board.Refused.Delete(fingerprint)
 }
 
-// merge adds dead targets to a row.
+// merge adds crashed targets to the row of the fingerprint. A row that gains a
+// target expires after keep.
 func (g *Guard) merge(fingerprint string, targets []string, keep time.Duration) {
 	now := g.opts.Clock.Now()
-	if !g.room(now) {
+	if !g.hasRoom(now) {
 		g.opts.Metrics.Counter(metricDropped).Add(1)
 		return
 	}
-	crossed := false
+	reachedLimit := false
 	g.opts.Board.Refused.Update(fingerprint, func(old board.Refusal, _ bool) (board.Refusal, bool) {
 		row := board.Refusal{Until: now.Add(keep)}
 		if old.Until.After(now) {
@@ -172,22 +178,23 @@
 		}
 		before := len(row.Targets)
 		row.Targets = union(row.Targets, targets)
-		crossed = before < g.opts.Limit && len(row.Targets) >= g.opts.Limit
+		reachedLimit = before < g.opts.Limit && len(row.Targets) >= g.opts.Limit
 		if len(row.Targets) == before {
-			// Nothing new: a row that goes round among instances must not
-			// live for ever on its own echo.
+			// Without a new target the row keeps its expiry. Otherwise gossip
+			// among instances would extend it forever.
 			return old, false
 		}
 		return row, true
 	})
-	if crossed {
+	if reachedLimit {
 		g.opts.Metrics.Counter(metricRefusedRequests).Add(1)
 		g.opts.Logger.Log(event.CrashguardRefused, "fingerprint", fingerprint)
 	}
 }
 
-// room makes room by dropping expired rows, and reports whether there is any.
-func (g *Guard) room(now time.Time) bool {
+// hasRoom reports whether the table can take another row. It deletes the expired
+// rows if the table is full.
+func (g *Guard) hasRoom(now time.Time) bool {
 	if g.opts.Board.Refused.Len() < maxRows {
 		return true
 	}
--- a/internal/crashguard/crashguard_test.go
+++ b/internal/crashguard/crashguard_test.go
@@ -29,9 +29,10 @@
 	to.Absorb(digest)
 }
 
-// Symptom: target after target dies, and the caller resends under new keys.
-// Events: the request runs at two instances, and a target dies at each.
-// Cause: each instance alone saw one death, which might be chance.
+// Guards against a request that crashes target after target while its caller
+// resends it under new keys. It comes about when the request crashes one target
+// at each of two instances, and each instance counts only the crash it saw
+// itself, which is below the limit.
 func TestRefusedEverywhereAfterTwoDeaths(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a, b, c := newGuard(false), newGuard(false), newGuard(false)
@@ -39,62 +40,62 @@
 		a.Broke(t.Context(), fp, stagecall.Target{ID: "t1"})
 		b.Broke(t.Context(), fp, stagecall.Target{ID: "t2"})
 		if a.Refused(fp) || b.Refused(fp) {
-			t.Fatal("refused after one death")
+			t.Fatal("refused after one crash")
 		}
 		exchange(a, b)
 		exchange(b, c)
 		exchange(c, a)
 		if !a.Refused(fp) || !b.Refused(fp) || !c.Refused(fp) {
-			t.Error("not refused everywhere")
+			t.Error("not refused by all instances")
 		}
 		if a.Refused(Fingerprint("draft", []byte(`{"poison":2}`))) {
-			t.Error("another input is refused")
+			t.Error("a request with another input is refused")
 		}
 	})
 }
 
-// Symptom: a harmless request is refused.
-// Events: the same target dies twice under it, or only connections break.
-// Cause: counting breaks, or the same target twice, instead of distinct deaths.
-func TestCountsDistinctDeathsOnly(t *testing.T) {
+// Guards against the refusal of a harmless request because broken connections,
+// or two crashes of the same target, are counted like distinct crashed targets.
+func TestCountsDistinctCrashedTargetsOnly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		alive := newGuard(true)
 		for i := range 5 {
 			alive.Broke(t.Context(), "fp", stagecall.Target{ID: fmt.Sprint(i)})
 		}
 		if alive.Suspect("fp") {
-			t.Error("broken connections counted as deaths")
+			t.Error("broken connections counted as crashes")
 		}
 		g := newGuard(false)
 		g.TargetDied("fp", "t1")
 		g.TargetDied("fp", "t1")
 		if g.Refused("fp") || !g.Suspect("fp") {
-			t.Error("one target counted twice, or not at all")
+			t.Error("a target that crashed twice was counted twice, or not at all")
 		}
 	})
 }
 
-// Symptom: a refusal never ends though the engines were repaired.
-// Events: instances pass a row round; each would extend it on receipt.
-// Cause: a row that lives on its own echo.
+// Guards against a refusal that never expires although the engines were
+// repaired. It comes about when instances gossip a row among each other and each
+// extends its expiry on receipt.
 func TestRefusalExpiresDespiteGossip(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a, b := newGuard(false), newGuard(false)
 		a.TargetDied("fp", "t1")
 		a.TargetDied("fp", "t2")
-		for end := time.Now().Add(2 * DefaultKeep); time.Now().Before(end); time.Sleep(time.Second) {
+		for end := time.Now().Add(2 * DefaultTTL); time.Now().Before(end); time.Sleep(time.Second) {
 			exchange(a, b)
 			exchange(b, a)
 		}
 		if a.Refused("fp") || b.Refused("fp") {
-			t.Error("still refused after twice the time to keep")
+			t.Error("still refused after twice the retention time")
 		}
 	})
 }
 
-// Symptom: an innocent request is refused with the guilty one.
-// Events: both ran on a target that died, met again on the next, which died.
-// Cause: suspected requests that share a target cannot be told apart.
+// Guards against the refusal of a harmless request together with the one that
+// crashes targets. It comes about when both ran on a target that crashed and run
+// together again on the next one: two suspected requests that share a target
+// cannot be distinguished when it crashes.
 func TestSuspectsAreKeptApart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGuard(false)
@@ -102,14 +103,14 @@
 		g.TargetDied("innocent", "t1")
 		end := g.Begin("guilty", "t2")
 		if got := g.Occupied("innocent"); len(got) != 1 || got[0] != "t2" {
-			t.Errorf("occupied: %v", got)
+			t.Errorf("occupied for the other suspect: %v, want t2", got)
 		}
 		if got := g.Occupied("guilty"); len(got) != 0 {
-			t.Errorf("occupied by itself: %v", got)
+			t.Errorf("occupied for the running request itself: %v, want none", got)
 		}
 		end()
 		if got := g.Occupied("innocent"); len(got) != 0 {
-			t.Errorf("still occupied: %v", got)
+			t.Errorf("still occupied after the attempt ended: %v", got)
 		}
 		g.Survived("innocent")
 		if g.Suspect("innocent") {
@@ -118,9 +119,11 @@
 	})
 }
 
-// Symptom: as above. Events: a target with many requests died, so that there are more suspects than targets; one of them
-// killed a second target. Cause: if none can be kept apart from all, nobody is kept from the one that is worst.
-func TestApartFromTheWorst(t *testing.T) {
+// Guards against the same failure when a target with many requests crashed, so
+// that there are more suspected requests than targets, and one request crashed a
+// second target. It comes about if a request that cannot avoid all suspected
+// requests does not avoid those with the highest crash count either.
+func TestSuspectsAvoidThoseWithMostCrashes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g, listed := New(Options{Limit: 3, Clock: quartz.NewReal()}), []string{"t1", "t2", "t3", "t4"}
 		for _, fp := range []string{"guilty", "a", "b", "c"} {
@@ -128,24 +131,24 @@
 		}
 		steps := []struct {
 			begin, at string
-			want      []string // that "a" is kept off afterwards
+			want      []string // targets that "a" must avoid afterwards
 		}{
 			{"b", "t2", []string{"t2", "t1"}}, {"c", "t3", []string{"t2", "t3", "t1"}}, {"guilty", "t4", []string{"t1"}},
 		}
 		for _, s := range steps {
 			g.Begin(s.begin, s.at)
 			if got := g.Apart("a", listed); !slices.Equal(got, s.want) {
-				t.Errorf("after %s began at %s: kept off %v", s.begin, s.at, got)
+				t.Errorf("after %s started on %s: avoided targets %v", s.begin, s.at, got)
 			}
 		}
 		g.TargetDied("guilty", "t5")
 		if got := g.Apart("a", listed); !slices.Equal(got, []string{"t4", "t1"}) || g.Apart("fresh", listed) != nil {
-			t.Errorf("after the second death: kept off %v", got)
+			t.Errorf("after the second crash: avoided targets %v", got)
 		}
 	})
 }
 
-func TestDigestKeepsItsBudgetAndGetsRound(t *testing.T) {
+func TestDigestsStayWithinBudgetAndCoverAllRows(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a, b := newGuard(false), newGuard(false)
 		for i := range 50 {
@@ -154,12 +157,12 @@
 		for range 60 {
 			var digest gossip.Digest
 			if used := a.Fill(&digest, "", 100); used > 100 {
-				t.Fatalf("used %d bytes", used)
+				t.Fatalf("the digest used %d bytes of 100", used)
 			}
 			b.Absorb(digest)
 		}
 		if got := b.opts.Board.Refused.Len(); got != 50 {
-			t.Errorf("%d of 50 rows got round", got)
+			t.Errorf("%d of 50 rows were received", got)
 		}
 	})
 }
--- a/internal/crashguard/gossip.go
+++ b/internal/crashguard/gossip.go
@@ -7,12 +7,13 @@
 	"lynxhill.example/lynxhill/internal/gossip"
 )
 
-// maxTargetsSent bounds the targets of a row in a digest; the limit of deaths
-// is small, so more tell nothing new.
+// maxTargetsSent bounds the targets of a row in a digest. The crash limit is
+// small, so more targets would not change a decision.
 const maxTargetsSent = 4
 
-// Fill implements gossip.Part. It sends the rows in turn, beginning after the
-// last row sent, so that many rows get round within a few exchanges.
+// Fill implements gossip.Part. It sends the rows round-robin, starting after the
+// last row sent, so that all rows of a large table are sent within a few
+// exchanges.
 func (g *Guard) Fill(digest *gossip.Digest, _ string, budget int) int {
 	rows := g.opts.Board.Refused.Snapshot()
 	if len(rows) == 0 {
@@ -20,7 +21,7 @@
 	}
 	now := g.opts.Clock.Now()
 	used := 0
-	for _, fingerprint := range g.inTurn(rows) {
+	for _, fingerprint := range g.afterCursor(rows) {
 		row := rows[fingerprint]
 		if !row.Until.After(now) {
 			g.opts.Board.Refused.Delete(fingerprint)
@@ -52,8 +53,9 @@
 	}
 }
 
-// inTurn returns the fingerprints in order, beginning after the cursor.
-func (g *Guard) inTurn(rows map[string]board.Refusal) []string {
+// afterCursor returns the fingerprints in sorted order, rotated to start after
+// the cursor.
+func (g *Guard) afterCursor(rows map[string]board.Refusal) []string {
 	ids := make([]string, 0, len(rows))
 	for id := range rows {
 		ids = append(ids, id)
@@ -72,7 +74,7 @@
 	g.cursor = fingerprint
 }
 
-// sizeOf estimates the row's bytes on the wire.
+// sizeOf estimates the encoded size of the row in bytes.
 func sizeOf(refusal gossip.Refusal) int {
 	const overhead = 8
 	size := len(refusal.Fingerprint) + overhead
