--- a/internal/serving/fakes_test.go
+++ b/internal/serving/fakes_test.go
@@ -19,7 +19,7 @@
 
 var errNotSent = errors.New("not sent")
 
-// fixture is a Server over fakes, with the real registry of outcomes.
+// fixture is a Server with fake dependencies and the real outcome registry.
 type fixture struct {
 	server   *Server
 	admitter *fakeAdmitter
@@ -44,8 +44,8 @@
 	return f
 }
 
-// profiles are "read", whose stages may be repeated, "book", whose last may
-// not, and "gone", which was deleted.
+// profiles returns "read", whose stages are idempotent, "book", whose last stage
+// is not idempotent, and "gone", which was deleted.
 func profiles(name string) (profile.Versioned, bool) {
 	p := profile.Profile{Name: name, Deadline: 10 * time.Second, Stages: []profile.Stage{{Name: "embed", Idempotent: true}}}
 	switch name {
@@ -60,13 +60,13 @@
 	return profile.Versioned{Version: 3, Profile: p}, true
 }
 
-// homes: the ticket "lxt1.NAME" was issued by NAME.
+// homes implements Tickets: the ticket "lxt1.NAME" was issued by instance NAME.
 type homes struct{}
 
 func (homes) Home(ticket string) (string, bool) { return strings.CutPrefix(ticket, "lxt1.") }
 
-// ticketed is a key under a ticket of the instance.
-func ticketed(instance string) string { return claim.MintKey("lxt1."+instance, "k") }
+// keyUnderTicket returns a key minted under a ticket of the instance.
+func keyUnderTicket(instance string) string { return claim.MintKey("lxt1."+instance, "k") }
 
 func request(name string) pipeline.Request {
 	return pipeline.Request{
@@ -75,14 +75,14 @@
 	}
 }
 
-// fakeAdmitter counts who is in.
+// fakeAdmitter counts the admitted requests and those not yet released.
 type fakeAdmitter struct {
 	t  *testing.T
 	mu sync.Mutex // guards the fields below
 
-	entered, inside int
-	entries         []admission.Entry
-	refuse          error
+	admitted, unreleased int
+	entries              []admission.Entry
+	refuse               error
 }
 
 func (d *fakeAdmitter) Admit(_ context.Context, entry admission.Entry) (func(), error) {
@@ -91,32 +91,33 @@
 	if d.refuse != nil {
 		return nil, d.refuse
 	}
-	d.entered++
-	d.inside++
+	d.admitted++
+	d.unreleased++
 	d.entries = append(d.entries, entry)
-	left := false
+	released := false
 	return func() {
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		if left {
-			d.t.Error("a place at admission was given back twice")
+		if released {
+			d.t.Error("an admission was released twice")
 		}
-		left = true
-		d.inside--
+		released = true
+		d.unreleased--
 	}, nil
 }
 
-// check asserts how many have entered and how many are still in.
-func (d *fakeAdmitter) check(entered, inside int) {
+// check asserts how many requests were admitted and how many of them have not
+// been released.
+func (d *fakeAdmitter) check(admitted, unreleased int) {
 	d.t.Helper()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.entered != entered || d.inside != inside {
-		d.t.Errorf("%d entered and %d are in, want %d and %d", d.entered, d.inside, entered, inside)
+	if d.admitted != admitted || d.unreleased != unreleased {
+		d.t.Errorf("%d admitted and %d not released, want %d and %d", d.admitted, d.unreleased, admitted, unreleased)
 	}
 }
 
-// fakeRunner runs requests by a script.
+// fakeRunner records requests and answers them with script.
 type fakeRunner struct {
 	mu     sync.Mutex // guards runs
 	runs   []pipeline.Request
@@ -139,7 +140,7 @@
 	return len(r.runs)
 }
 
-// fakeForwarder notes where requests were sent.
+// fakeForwarder records the forwarded requests and their destinations.
 type fakeForwarder struct {
 	homes    []string
 	requests []pipeline.Request
@@ -152,9 +153,9 @@
 	return pipeline.Outcome{RequestID: req.ID}, f.err
 }
 
-// connection is a caller's sink as an HTTP handler has it: what is written
-// after the handler has returned goes into somebody else's answer. It has no
-// lock of its own, so that the race detector sees such a write too.
+// connection is a caller's sink that behaves like an HTTP connection: data
+// written after the handler has returned would go into another request's answer.
+// It has no lock, so that the race detector reports such a write too.
 type connection struct {
 	t      *testing.T
 	closed bool
@@ -165,7 +166,7 @@
 
 func (c *connection) Frame(_ int, text string) error {
 	if c.closed {
-		c.t.Error("a frame reached a connection that was given back")
+		c.t.Error("a frame was written to a connection after its handler returned")
 	}
 	c.text += text
 	return c.err
@@ -173,12 +174,12 @@
 
 func (c *connection) StageDone(pipeline.StageReport) {
 	if c.closed {
-		c.t.Error("a report reached a connection that was given back")
+		c.t.Error("a stage report was written to a connection after its handler returned")
 	}
 	c.stages++
 }
 
-// serve serves a request as a handler does.
+// serve serves a request as an HTTP handler does.
 func (f *fixture) serve(ctx context.Context, req pipeline.Request, c *connection) (pipeline.Outcome, error) {
 	out, err := f.server.Serve(ctx, req, c)
 	c.closed = true
--- a/internal/serving/serving.go
+++ b/internal/serving/serving.go
@@ -1,6 +1,7 @@
-// Package serving takes a request that the caller API has checked to its
-// answer: it is admitted, finds the request's home, shares the run with
-// other requests of the same key, and runs the pipeline.
+// Package serving processes a request that the caller API has validated: it
+// routes the request to its home, admits it, shares one run among requests with
+// the same idempotency key, and runs the pipeline. The home of a request is the
+// instance that issued the ticket under which its key was minted.
 package serving
 
 import (
@@ -17,29 +18,29 @@
 	"lynxhill.example/lynxhill/internal/profile"
 )
 
-// Runner runs a request through its stages.
+// Runner runs a request through the stages of its profile.
 type Runner interface {
 	Run(ctx context.Context, req pipeline.Request, sink pipeline.Sink) (pipeline.Outcome, error)
 }
 
-// Outcomes shares runs between requests with the same key.
+// Outcomes shares one run among requests with the same key.
 type Outcomes interface {
 	Do(ctx context.Context, key outcome.Key, bodyHash, requestID string, run func(ctx context.Context) outcome.Record) (outcome.Record, bool, error)
 }
 
-// Tickets reads tickets.
+// Tickets parses tickets.
 type Tickets interface {
 	// Home returns the instance that issued the ticket; ok is false if it is
 	// malformed.
 	Home(ticket string) (instance string, ok bool)
 }
 
-// Forwarder runs a request at another instance.
+// Forwarder forwards a request to another instance and returns its outcome.
 type Forwarder interface {
 	Forward(ctx context.Context, instance string, req pipeline.Request, sink pipeline.Sink) (pipeline.Outcome, error)
 }
 
-// Options are the parts that a Server connects.
+// Options are the dependencies of a Server.
 type Options struct {
 	Self     string // id of this instance
 	Profiles func(name string) (profile.Versioned, bool)
@@ -48,21 +49,24 @@
 	Outcomes Outcomes
 	Tickets  Tickets
 	Forward  Forwarder
-	// NotSent is in the chain of a Forwarder's error if the other instance was
-	// not reached at all.
+	// NotSent is wrapped by a Forwarder's error if the request was not sent
+	// because the other instance could not be reached.
 	NotSent error
-	// MayAdmit returns nil if this instance takes new work, else the reason.
+	// MayAdmit returns nil if this instance accepts new requests, otherwise the
+	// reason.
 	MayAdmit func() error
-	// ClaimsUp reports whether the store that holds claims answers.
+	// ClaimsUp reports whether the store that holds claims is available.
 	ClaimsUp func() bool
-	// Lost returns a channel that is closed when this instance is found cut
-	// off from its targets; nil = never.
+	// Lost returns a channel that is closed when this instance is found to be
+	// disconnected from its targets. A nil function means that this is never
+	// detected.
 	Lost func() <-chan struct{}
-	// Refused is told of requests that were refused before the Runner.
+	// Refused is called for requests that are refused before they reach the
+	// Runner because claims cannot be recorded or admission refuses them.
 	Refused func(req pipeline.Request, err error)
 }
 
-// Server serves requests at their home.
+// Server serves requests, or forwards them to their home.
 type Server struct {
 	opts Options
 }
@@ -70,31 +74,34 @@
 // New returns a server.
 func New(opts Options) *Server { return &Server{opts: opts} }
 
-// Serve runs the request, here or, if it has a stage that may run once, at the
-// instance whose ticket its key was minted under, and delivers the answer to sink or in the outcome. Errors have
-// kinds. A zero or later Deadline than the profile's is replaced by that.
+// Serve runs the request and delivers the answer to sink or in the outcome. It
+// runs the request here, or at its home if the profile has a stage that is not
+// idempotent. Errors have an errkind. A Deadline that is zero or later than the
+// profile allows is replaced by the latest one that the profile allows.
 func (s *Server) Serve(ctx context.Context, req pipeline.Request, sink pipeline.Sink) (pipeline.Outcome, error) {
 	prof, err := s.profileOf(req)
 	if err != nil {
 		return pipeline.Outcome{}, err
 	}
 	req.Deadline = deadlineOf(req, prof)
-	if home, remote := s.remoteHome(req); remote && runsOnce(prof) != "" {
+	if home, remote := s.remoteHome(req); remote && firstNonIdempotentStage(prof) != "" {
 		return s.forward(ctx, home, req, sink)
 	}
-	return s.serveUntilLost(ctx, req, prof, sink)
+	return s.serveWhileTargetsReachable(ctx, req, prof, sink)
 }
 
-// errLost ends the wait for a request whose instance is cut off.
-var errLost = errors.New("serving: no target can be reached")
+// errTargetsUnreachable is the cancellation cause of requests at an instance that
+// can no longer reach its targets.
+var errTargetsUnreachable = errors.New("serving: no target can be reached")
 
-// serveUntilLost serves the request here, and gives it up when this instance
-// turns out to be cut off from its targets: its caller can then send it again
-// elsewhere while there is time. A claimed stage that was dispatched goes on
-// for the record, and its claim keeps a resend from running it again.
-func (s *Server) serveUntilLost(ctx context.Context, req pipeline.Request, prof profile.Versioned, sink pipeline.Sink) (pipeline.Outcome, error) {
+// serveWhileTargetsReachable serves the request at this instance, and returns
+// StoppedMidway as soon as this instance is found to be disconnected from its
+// targets, so that the caller can resend the request to another instance before
+// the deadline. A claimed stage that was already dispatched continues, so that
+// its outcome is recorded; the claim keeps a resend from running it again.
+func (s *Server) serveWhileTargetsReachable(ctx context.Context, req pipeline.Request, prof profile.Versioned, sink pipeline.Sink) (pipeline.Outcome, error) {
 	if s.opts.Lost == nil {
-		return s.serveHere(ctx, req, prof, sink)
+		return s.serveLocally(ctx, req, prof, sink)
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -102,31 +109,32 @@
 	go func() {
 		select {
 		case <-lost:
-			cancel(errLost)
+			cancel(errTargetsUnreachable)
 		case <-ctx.Done():
 		}
 	}()
-	out, err := s.serveHere(ctx, req, prof, sink)
-	if errkind.Is(err, errkind.Cancelled) && errors.Is(context.Cause(ctx), errLost) {
+	out, err := s.serveLocally(ctx, req, prof, sink)
+	if errkind.Is(err, errkind.Cancelled) && errors.Is(context.Cause(ctx), errTargetsUnreachable) {
 		return out, errkind.New(errkind.StoppedMidway, "this instance no longer reaches its targets; send the request again elsewhere")
 	}
 	return out, err
 }
 
-// ServeForwarded runs a request that another instance forwarded here. It is
-// never forwarded again: two instances that disagree about a ticket would send
-// it round between them until its deadline.
+// ServeForwarded runs a request that another instance forwarded here. It never
+// forwards the request again: two instances that disagree about a ticket would
+// forward it to each other until its deadline.
 func (s *Server) ServeForwarded(ctx context.Context, req pipeline.Request, sink pipeline.Sink) (pipeline.Outcome, error) {
 	prof, err := s.profileOf(req)
 	if err != nil {
 		return pipeline.Outcome{}, err
 	}
-	return s.serveUntilLost(ctx, req, prof, sink)
+	return s.serveWhileTargetsReachable(ctx, req, prof, sink)
 }
 
-// forward runs the request at its home. Only the home knows whether the key
-// has run before: when it cannot be reached, "not run" would be true of this
-// call but perhaps not of an earlier one with the same key.
+// forward runs the request at its home. Only the home knows whether a request
+// with the key has run before. If the home cannot be reached, the error is
+// OutcomeUnknown: "not run" would be true for this call, but perhaps not for an
+// earlier one with the same key.
 func (s *Server) forward(ctx context.Context, home string, req pipeline.Request, sink pipeline.Sink) (pipeline.Outcome, error) {
 	out, err := s.opts.Forward.Forward(ctx, home, req, sink)
 	if err != nil && errors.Is(err, s.opts.NotSent) {
@@ -146,8 +154,8 @@
 func (s *Server) profileOf(req pipeline.Request) (profile.Versioned, error) {
 	prof, ok := s.opts.Profiles(req.Profile)
 	if !ok || prof.Deleted {
-		// An instance that has not loaded its configuration knows no profile;
-		// that says nothing about the profile.
+		// An instance that has not loaded its configuration has no profiles, so
+		// it cannot tell whether this one exists.
 		if err := s.opts.MayAdmit(); err != nil {
 			return profile.Versioned{}, err
 		}
@@ -156,9 +164,10 @@
 	return prof, nil
 }
 
-// remoteHome returns the instance under whose ticket the key was minted, if it
-// is another one. Requests that may be repeated need not go there: a frozen
-// home would keep them until their deadline for nothing.
+// remoteHome returns the instance that issued the ticket of the key, if it is
+// another instance. Requests whose stages are all idempotent need not be
+// forwarded there: an unresponsive home would delay them until their deadline
+// for no benefit.
 func (s *Server) remoteHome(req pipeline.Request) (string, bool) {
 	ticket, ok := claim.TicketOf(req.Key)
 	if !ok {
@@ -168,28 +177,29 @@
 	return home, ok && home != s.opts.Self
 }
 
-// retryAfterOutage is when a caller may come back that was refused for want of
-// the store.
-const retryAfterOutage = 500 * time.Millisecond
+// storeOutageRetryAfter is the RetryAfter of requests that are refused because
+// the store is unavailable.
+const storeOutageRetryAfter = 500 * time.Millisecond
 
-// checkClaims refuses a request that will need a claim while claims cannot be
-// recorded. Without this the stages before the claim would be run and paid
-// for, and the caller would wait out its deadline for "may have run"; told at
-// once, it can come back, or use a key under a ticket, which needs no record.
-func (s *Server) checkClaims(req pipeline.Request, prof profile.Versioned) error {
+// checkClaimStore refuses a request that will need a claim while claims cannot be
+// recorded. Without this check, the stages before the claim would run and incur
+// their cost, and the caller would wait until its deadline and then get "may have
+// run". A caller that is refused immediately can retry later, or use a key under a
+// ticket, which needs no claim in the store.
+func (s *Server) checkClaimStore(req pipeline.Request, prof profile.Versioned) error {
 	if _, ticketed := claim.TicketOf(req.Key); ticketed || s.opts.ClaimsUp() {
 		return nil
 	}
-	if stage := runsOnce(prof); stage != "" {
+	if stage := firstNonIdempotentStage(prof); stage != "" {
 		err := errkind.New(errkind.StoreUnavailable, "the store that keeps stage %s from running twice is down; nothing was started", stage)
-		return errkind.WithRetryAfter(err, retryAfterOutage)
+		return errkind.WithRetryAfter(err, storeOutageRetryAfter)
 	}
 	return nil
 }
 
-// runsOnce returns the first stage that may not be repeated, "" if there is
-// none.
-func runsOnce(prof profile.Versioned) string {
+// firstNonIdempotentStage returns the name of the first stage that is not
+// idempotent, "" if there is none.
+func firstNonIdempotentStage(prof profile.Versioned) string {
 	for _, stage := range prof.Profile.Stages {
 		if !stage.Idempotent {
 			return stage.Name
@@ -198,12 +208,12 @@
 	return ""
 }
 
-func (s *Server) serveHere(ctx context.Context, req pipeline.Request, prof profile.Versioned, sink pipeline.Sink) (pipeline.Outcome, error) {
-	if err := s.checkClaims(req, prof); err != nil {
+func (s *Server) serveLocally(ctx context.Context, req pipeline.Request, prof profile.Versioned, sink pipeline.Sink) (pipeline.Outcome, error) {
+	if err := s.checkClaimStore(req, prof); err != nil {
 		s.opts.Refused(req, err)
 		return pipeline.Outcome{}, err
 	}
-	leave, err := s.opts.Admitter.Admit(ctx, admission.Entry{
+	release, err := s.opts.Admitter.Admit(ctx, admission.Entry{
 		Organisation: req.Organisation,
 		Profile:      req.Profile,
 		Priority:     prof.Profile.Priority,
@@ -214,35 +224,36 @@
 		return pipeline.Outcome{}, err
 	}
 	if !req.KeyGiven {
-		defer leave()
+		defer release()
 		return s.opts.Runner.Run(ctx, req, sink)
 	}
-	return s.serveShared(ctx, req, sink, leave)
+	return s.serveShared(ctx, req, sink, release)
 }
 
-// serveShared runs the request once for all callers with its key. The run goes
-// on when its first caller goes away, so that a resend finds the answer; the
-// place that the run takes at admission is given back when the run ends.
-func (s *Server) serveShared(ctx context.Context, req pipeline.Request, sink pipeline.Sink, leave func()) (pipeline.Outcome, error) {
+// serveShared runs the request once for all callers with its key. The run
+// continues when its first caller disconnects, so that a resend gets the answer.
+// The run holds its admission until it ends.
+func (s *Server) serveShared(ctx context.Context, req pipeline.Request, sink pipeline.Sink, release func()) (pipeline.Outcome, error) {
 	caller := newDetachableSink(sink)
 	defer caller.Detach()
-	// Both are written by run and read only after Do says that run has ended.
-	// A run that panics writes nothing: without the error that stands here
-	// before it, its caller would get an empty answer that says it is whole.
+	// Both variables are written by run and read only after Do has reported that
+	// run has ended. A run that panics does not write them: without the initial
+	// error, its caller would get an empty answer marked as complete.
 	var own pipeline.Outcome
 	ownErr := errkind.New(errkind.Internal, "the run ended without an answer")
 	run := func(runCtx context.Context) outcome.Record {
-		defer leave()
+		defer release()
 		own, ownErr = s.opts.Runner.Run(runCtx, req, caller)
 		return recordOf(req, own, ownErr)
 	}
 	key := outcome.Key{Organisation: req.Organisation, Key: req.Key}
 	record, shared, err := s.opts.Outcomes.Do(ctx, key, pipeline.BodyHash(req), req.ID, run)
-	// Only a run gives its place back by itself. A reused key is refused by
-	// the record and runs nothing: an organisation would lose a place with
-	// each, until it is refused for its limit while it sends nothing.
+	// Only a run releases its own admission. A request that joins another run, or
+	// that is refused because its key was reused with another body, does not run
+	// and must be released here. Otherwise each one would leak an admission, until
+	// the organisation is refused for its limit with no requests in flight.
 	if shared || errkind.Is(err, errkind.KeyReused) {
-		leave()
+		release()
 	}
 	if err != nil {
 		return pipeline.Outcome{}, err
--- a/internal/serving/serving_test.go
+++ b/internal/serving/serving_test.go
@@ -15,16 +15,16 @@
 	return err
 }
 
-// The symptom would be requests that wait out their deadline and end as "may
-// have run" during an outage. Events: the store is down, a request needs a
-// claim for its second stage; the first is run and paid for. Cause: the claim
-// is asked for only when the stage begins.
+// Guards against requests that run until their deadline and end as "may have
+// run" during an outage of the store. It comes about when a request needs a
+// claim for its second stage and the claim is requested only when that stage
+// begins: the first stage then runs and incurs its cost for nothing.
 func TestStoreDownRefusesOnlyWhatNeedsAClaim(t *testing.T) {
 	f := newFixture(t)
 	f.claimsUp = false
 	err := f.serveOnce(t, request("book"))
 	wantKind(t, err, errkind.StoreUnavailable)
-	if errkind.RetryAfter(err) != retryAfterOutage || len(f.refused) != 1 {
+	if errkind.RetryAfter(err) != storeOutageRetryAfter || len(f.refused) != 1 {
 		t.Errorf("retry after %s, %d refusals reported", errkind.RetryAfter(err), len(f.refused))
 	}
 	f.admitter.check(0, 0)
@@ -33,10 +33,10 @@
 	}
 
 	if err := f.serveOnce(t, request("read")); err != nil {
-		t.Errorf("a request that may be repeated: %v", err)
+		t.Errorf("a request with idempotent stages only: %v", err)
 	}
 	req := request("book")
-	req.Key = ticketed("self")
+	req.Key = keyUnderTicket("self")
 	if err := f.serveOnce(t, req); err != nil {
 		t.Errorf("a key under a ticket: %v", err)
 	}
@@ -53,18 +53,18 @@
 	}
 }
 
-// The symptom would be a booking made twice. Events: a key was minted under
-// the ticket of an instance that has died; another instance is asked, cannot
-// reach it and says "not run"; the caller sends it under a new key. Cause: not
-// sent now says nothing of earlier sends.
+// Guards against a booking made twice. It comes about when a key was minted
+// under the ticket of an instance that has crashed, and another instance cannot
+// reach it and answers "not run", so that the caller resends the request under a
+// new key. That this call was not sent does not exclude an earlier run.
 func TestUnreachableHomeLeavesTheOutcomeUnknown(t *testing.T) {
 	f := newFixture(t)
 	req := request("book")
-	req.Key = ticketed("other")
+	req.Key = keyUnderTicket("other")
 	f.forward.err = fmt.Errorf("dial: %w", errNotSent)
 	wantKind(t, f.serveOnce(t, req), errkind.OutcomeUnknown)
 	f.forward.err = errkind.New(errkind.Overloaded, "the home is full")
-	wantKind(t, f.serveOnce(t, req), errkind.Overloaded) // what the home itself says goes through
+	wantKind(t, f.serveOnce(t, req), errkind.Overloaded) // an error of the home itself is passed on
 	f.forward.err = nil
 	if err := f.serveOnce(t, req); err != nil {
 		t.Error(err)
@@ -75,14 +75,15 @@
 	f.admitter.check(0, 0)
 }
 
-// The symptom would be a read that waits out its deadline. Events: the store is
-// down, so that callers make keys under tickets; an instance freezes, and its
-// callers send their reads again elsewhere, which forwards them to the frozen
-// one. Cause: a ticket says only where a stage that may run once has run.
+// Guards against an idempotent request that waits until its deadline. It comes
+// about when the store is down, so that callers mint keys under tickets, and an
+// instance stops responding: callers resend their requests to another instance,
+// which would forward them to the unresponsive one. The ticket matters only for
+// stages that are not idempotent.
 func TestRequestsThatMayBeRepeatedAreNotForwarded(t *testing.T) {
 	f := newFixture(t)
 	req := request("read")
-	req.Key = ticketed("other")
+	req.Key = keyUnderTicket("other")
 	if err := f.serveOnce(t, req); err != nil {
 		t.Error(err)
 	}
@@ -91,12 +92,12 @@
 	}
 }
 
-// The symptom would be a request that two instances send round between them
-// until its deadline. Cause: they disagree about a ticket's issuer.
+// Guards against two instances that forward a request to each other until its
+// deadline because they disagree about the issuer of a ticket.
 func TestForwardedRequestsAreNotForwardedAgain(t *testing.T) {
 	f := newFixture(t)
 	req := request("book")
-	req.Key = ticketed("other")
+	req.Key = keyUnderTicket("other")
 	if _, err := f.server.ServeForwarded(t.Context(), req, &connection{t: t}); err != nil {
 		t.Fatal(err)
 	}
@@ -108,10 +109,11 @@
 	wantKind(t, err, errkind.UnknownProfile)
 }
 
-// A malformed ticket names nobody: its key runs here, and the claim refuses it.
+// A malformed ticket names no instance: the request is served here, and the
+// claim refuses its key.
 func TestOwnAndMalformedTicketsStayHere(t *testing.T) {
 	f := newFixture(t)
-	for i, key := range []string{ticketed("self"), "lxt1/k", "plain"} {
+	for i, key := range []string{keyUnderTicket("self"), "lxt1/k", "plain"} {
 		req := request("read")
 		req.Key = key
 		if err := f.serveOnce(t, req); err != nil {
@@ -131,7 +133,7 @@
 		"later":   {received.Add(time.Minute), latest},
 		"earlier": {received.Add(time.Second), received.Add(time.Second)},
 	} {
-		for _, key := range []string{"here", ticketed("other")} {
+		for _, key := range []string{"here", keyUnderTicket("other")} {
 			f := newFixture(t)
 			req := request("book")
 			req.Key, req.Received, req.Deadline = key, received, row.asked
@@ -145,16 +147,16 @@
 			}
 			for _, entry := range f.admitter.entries {
 				if !entry.Deadline.Equal(row.want) {
-					t.Errorf("%s: the admitter was told another deadline", name)
+					t.Errorf("%s: the admitter got another deadline", name)
 				}
 			}
 		}
 	}
 }
 
-// The symptom would be "unknown profile", which callers do not send again, for
-// a profile that is in force. Events: an instance starts while the store is
-// down. Cause: it knows no profile yet.
+// Guards against "unknown profile", which callers do not retry, for a profile
+// that is in force. It comes about when an instance starts while the store is
+// down and has not loaded any profiles yet.
 func TestUnconfirmedInstanceDoesNotCallAProfileUnknown(t *testing.T) {
 	f := newFixture(t)
 	for _, name := range []string{"nowhere", "gone"} {
--- a/internal/serving/shared_test.go
+++ b/internal/serving/shared_test.go
@@ -12,7 +12,7 @@
 	"lynxhill.example/lynxhill/internal/pipeline"
 )
 
-// streaming answers with a frame a second for five seconds.
+// streaming answers with one frame per second for five seconds.
 func streaming(ctx context.Context, req pipeline.Request, sink pipeline.Sink) (pipeline.Outcome, error) {
 	for i := range 5 {
 		time.Sleep(time.Second)
@@ -27,9 +27,9 @@
 	return pipeline.Outcome{RequestID: req.ID, Output: json.RawMessage(`"ababababab"`), Streamed: true, Length: 10}, nil
 }
 
-// The symptom would be two runs, and for a booking two bookings. Events: a
-// caller's connection breaks, it sends the request again while the first is
-// still running. Cause: each request runs by itself.
+// Guards against two runs of one request, which for a booking means two
+// bookings. It comes about when a caller's connection breaks and the caller
+// resends the request while the first run is still in progress.
 func TestRequestsOfOneKeyShareOneRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t)
@@ -52,21 +52,22 @@
 		}
 		serving.Wait()
 		if f.runner.count() != 1 || repeated != 4 {
-			t.Errorf("%d runs, %d of 5 answers are another's", f.runner.count(), repeated)
+			t.Errorf("%d runs, %d of 5 answers are marked as repeated; want 1 and 4", f.runner.count(), repeated)
 		}
 		f.admitter.check(5, 0)
 		out, err := f.serve(t.Context(), request("book"), &connection{t: t})
 		if err != nil || !out.Repeated || f.runner.count() != 1 {
-			t.Errorf("a resend after the end: %+v, %v, %d runs", out, err, f.runner.count())
+			t.Errorf("a resend after the run ended: %+v, %v, %d runs", out, err, f.runner.count())
 		}
 		f.admitter.check(6, 0)
 	})
 }
 
-// The symptom would be frames of one request in the answer to another. Events:
-// a caller goes away during a stream; the run goes on for the record and
-// writes to the connection that the server has given to the next request.
-func TestRunGoesOnWithoutItsCallerAndWithoutItsConnection(t *testing.T) {
+// Guards against frames of one request in the answer to another. It comes about
+// when a caller disconnects during a stream, and the run, which continues so
+// that its outcome is recorded, writes to a connection that the HTTP server has
+// reused for the next request.
+func TestRunContinuesAfterItsCallerDisconnects(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t)
 		f.runner.script = streaming
@@ -76,9 +77,9 @@
 		_, err := f.serve(ctx, request("book"), c)
 		wantKind(t, err, errkind.Cancelled)
 		if c.text != "abab" {
-			t.Errorf("delivered %q before it left, want abab", c.text)
+			t.Errorf("delivered %q before the caller disconnected, want abab", c.text)
 		}
-		f.admitter.check(1, 1) // the run still takes its place
+		f.admitter.check(1, 1) // the run still holds its admission
 		out, err := f.serve(t.Context(), request("book"), &connection{t: t})
 		if err != nil || !out.Repeated || f.runner.count() != 1 {
 			t.Errorf("the resend: %+v, %v, %d runs", out, err, f.runner.count())
@@ -87,7 +88,7 @@
 	})
 }
 
-// A caller whose connection refuses a frame is gone, but its run is not.
+// A write error on the caller's connection does not end the run.
 func TestBrokenConnectionDoesNotEndTheRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t)
@@ -100,8 +101,8 @@
 	})
 }
 
-// A request without a key of its caller cannot come again: nobody would ever
-// fetch its answer, so it ends with its caller.
+// A request without a key from its caller cannot be resent, so its answer could
+// never be fetched: the run is cancelled when the caller disconnects.
 func TestRequestWithoutAKeyEndsWithItsCaller(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t)
@@ -116,9 +117,9 @@
 	})
 }
 
-// The symptom would be a caller that sends again after "not run" and gets the
-// same refusal for ten minutes. Cause: the refusal is kept as the outcome.
-func TestRefusalThatRanNothingLetsAResendRun(t *testing.T) {
+// Guards against a caller that resends a request after "not run" and gets the
+// same refusal for ten minutes because the refusal is stored as the outcome.
+func TestResendRunsAfterARefusalThatRanNothing(t *testing.T) {
 	f := newFixture(t)
 	f.runner.script = func(context.Context, pipeline.Request, pipeline.Sink) (pipeline.Outcome, error) {
 		return pipeline.Outcome{}, errkind.New(errkind.Overloaded, "no room")
@@ -132,7 +133,8 @@
 	f.admitter.check(2, 0)
 }
 
-// An error that may have run is the outcome: a resend gets it, not a new run.
+// An error of a request that may have run is stored as the outcome: a resend
+// gets the same error and no new run.
 func TestErrorThatMayHaveRunIsKept(t *testing.T) {
 	f := newFixture(t)
 	f.runner.script = func(context.Context, pipeline.Request, pipeline.Sink) (pipeline.Outcome, error) {
@@ -146,11 +148,11 @@
 	f.admitter.check(2, 0)
 }
 
-// The symptom would be an organisation that is refused for its limit while it
-// sends nothing. Events: one of its programs uses a key twice with different
-// bodies; each such request is refused. Cause: the refusal comes from the
-// record, no run begins that would give the place at admission back.
-func TestReusedKeyGivesItsPlaceBack(t *testing.T) {
+// Guards against an organisation that is refused for its limit with no requests
+// in flight. It comes about when a client uses one key with different bodies:
+// the outcome registry refuses such requests without starting a run, and only a
+// run releases its own admission.
+func TestReusedKeyReleasesItsAdmission(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t)
 		f.runner.script = streaming
@@ -166,20 +168,20 @@
 	})
 }
 
-// The symptom would be an empty answer that says it is whole. Events: a run
-// panics; the registry records an internal error. Cause: the first caller
-// reads what the run has left, which is nothing, and not the record.
-func TestPanicIsNoAnswer(t *testing.T) {
+// Guards against an empty answer marked as complete. It comes about when a run
+// panics: the registry records an internal error, but the first caller reads the
+// variables of the run, which are then unset, instead of the record.
+func TestPanicReturnsInternalError(t *testing.T) {
 	f := newFixture(t)
 	f.runner.script = func(context.Context, pipeline.Request, pipeline.Sink) (pipeline.Outcome, error) { panic("defect") }
 	wantKind(t, f.serveOnce(t, request("book")), errkind.Internal)
 	f.admitter.check(1, 0)
 }
 
-// The symptom would be callers that wait out their deadline at an instance
-// that no longer reaches any target. Events: it is cut off while it runs
-// requests. The caller is told at once; the run goes on for the record.
-func TestCutOffInstanceSendsItsCallersAway(t *testing.T) {
+// Guards against callers that wait until their deadline at an instance that
+// loses the connection to all targets while it runs requests. The caller gets an
+// error immediately; the run continues so that its outcome is recorded.
+func TestCallersGetAnErrorWhenTargetsAreUnreachable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t)
 		f.runner.script = streaming
@@ -189,7 +191,7 @@
 		_, err := f.serve(t.Context(), request("book"), c)
 		wantKind(t, err, errkind.StoppedMidway)
 		if took := time.Since(started); took != 1500*time.Millisecond || c.text != "ab" {
-			t.Errorf("told after %s with %q delivered", took, c.text)
+			t.Errorf("the caller got the error after %s with %q delivered", took, c.text)
 		}
 		time.Sleep(time.Minute)
 		f.admitter.check(1, 0)
@@ -199,8 +201,9 @@
 	})
 }
 
-// The same for a request that came from another instance under a ticket.
-func TestCutOffInstanceSendsForwardedRequestsAway(t *testing.T) {
+// The same holds for a request that another instance forwarded because of its
+// ticket.
+func TestForwardedRequestsGetAnErrorWhenTargetsAreUnreachable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t)
 		f.runner.script = streaming
@@ -209,7 +212,7 @@
 		_, err := f.server.ServeForwarded(t.Context(), request("book"), &connection{t: t})
 		wantKind(t, err, errkind.StoppedMidway)
 		if took := time.Since(started); took != 1500*time.Millisecond {
-			t.Errorf("told after %s", took)
+			t.Errorf("the caller got the error after %s", took)
 		}
 		time.Sleep(time.Minute)
 		f.admitter.check(1, 0)
--- a/internal/serving/sink.go
+++ b/internal/serving/sink.go
@@ -6,10 +6,10 @@
 	"lynxhill.example/lynxhill/internal/pipeline"
 )
 
-// detachableSink passes frames to a caller until the caller is gone. A run
-// that goes on after that must not write to the caller's connection, which the
-// HTTP server has taken back by then; the symptom would be frames of one
-// request in the answer to another.
+// detachableSink passes frames to a caller until the caller disconnects. A run
+// that continues after that must not write to the caller's connection: the HTTP
+// server may reuse it by then, and frames of one request would appear in the
+// answer to another.
 type detachableSink struct {
 	mu   sync.Mutex // guards sink, held while the sink is called
 	sink pipeline.Sink
@@ -19,8 +19,8 @@
 	return &detachableSink{sink: sink}
 }
 
-// Frame implements pipeline.Sink. A caller that is gone is no error: the run
-// goes on for the record.
+// Frame implements pipeline.Sink. It returns no error if the caller has
+// disconnected, since the run continues so that its outcome is recorded.
 func (d *detachableSink) Frame(offset int, text string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -42,8 +42,7 @@
 	}
 }
 
-// Detach waits for a frame that is being delivered and lets no further one
-// through.
+// Detach waits for a frame that is being delivered and drops all later ones.
 func (d *detachableSink) Detach() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
