--- a/internal/peer/claim.go
+++ b/internal/peer/claim.go
@@ -12,14 +12,13 @@
 
 var _ claim.Forwarder = (*Client)(nil)
 
-// ForwardClaim implements claim.Forwarder. The call is made once and never
-// repeated here.
+// ForwardClaim implements claim.Forwarder. The call is made once and not retried here.
 func (c *Client) ForwardClaim(ctx context.Context, instance string, m claim.Message) (reply claim.Reply, err error) {
-	l, err := c.of(instance)
+	l, err := c.linkTo(instance)
 	if err != nil {
 		return claim.Reply{}, err
 	}
-	err = c.tracked(ctx, "claim", l, func(ctx context.Context) error {
+	err = c.call(ctx, "claim", l, func(ctx context.Context) error {
 		out, err := l.client.Claim(ctx, claimToProto(m, time.Now()))
 		if err != nil {
 			return err
@@ -47,7 +46,7 @@
 		Result:       m.Result,
 	}
 	if !m.Deadline.IsZero() {
-		// 0 means no deadline, so one that has passed leaves a millisecond.
+		// 0 means no deadline, so a deadline that has passed is sent as one millisecond.
 		out.DeadlineLeftMs = max(1, m.Deadline.Sub(now).Milliseconds())
 	}
 	return out
--- a/internal/peer/claim_test.go
+++ b/internal/peer/claim_test.go
@@ -23,7 +23,7 @@
 func TestEveryFieldOfAClaimArrives(t *testing.T) {
 	var got claim.Message
 	want := claim.Reply{State: claim.Held, Holder: "c", Result: json.RawMessage(`{"x":1}`), HasResult: true}
-	client, _ := serve(t, ServerOptions{Claim: func(_ context.Context, m claim.Message) (claim.Reply, error) {
+	client, _ := startServer(t, ServerOptions{Claim: func(_ context.Context, m claim.Message) (claim.Reply, error) {
 		got = m
 		return want, nil
 	}})
@@ -36,17 +36,17 @@
 	}
 }
 
-func TestDeadlineOfAClaimIsCarriedAsTimeLeft(t *testing.T) {
+func TestClaimDeadlineIsSentAsTimeLeft(t *testing.T) {
 	now := time.Unix(1000, 0)
-	late := now.Add(time.Hour) // what the clock of the receiver says
+	receiverNow := now.Add(time.Hour) // the receiver's clock
 	for _, c := range []struct{ deadline, want time.Time }{
 		{time.Time{}, time.Time{}},
-		{now.Add(time.Second), late.Add(time.Second)},
-		{now.Add(-time.Second), late.Add(time.Millisecond)},
+		{now.Add(time.Second), receiverNow.Add(time.Second)},
+		{now.Add(-time.Second), receiverNow.Add(time.Millisecond)},
 	} {
 		m := sampleClaim()
 		m.Deadline = c.deadline
-		if got := claimFromProto(claimToProto(m, now), late).Deadline; !got.Equal(c.want) {
+		if got := claimFromProto(claimToProto(m, now), receiverNow).Deadline; !got.Equal(c.want) {
 			t.Errorf("deadline %v arrives as %v, want %v", c.deadline, got, c.want)
 		}
 	}
@@ -54,7 +54,7 @@
 
 func TestClaimErrorsKeepTheirKind(t *testing.T) {
 	for _, kind := range []errkind.Kind{errkind.KeyReused, errkind.StoreUnavailable, errkind.OutcomeUnknown} {
-		client, _ := serve(t, ServerOptions{Claim: func(context.Context, claim.Message) (claim.Reply, error) {
+		client, _ := startServer(t, ServerOptions{Claim: func(context.Context, claim.Message) (claim.Reply, error) {
 			return claim.Reply{}, errkind.New(kind, "no")
 		}})
 		if _, err := client.ForwardClaim(t.Context(), "b", claim.Message{}); !errkind.Is(err, kind) {
@@ -63,20 +63,20 @@
 	}
 }
 
-func TestClaimAtAnEarlierVersionHasNoKind(t *testing.T) {
-	client, _ := serve(t, ServerOptions{})
+func TestClaimAtAnOlderVersionHasNoKind(t *testing.T) {
+	client, _ := startServer(t, ServerOptions{})
 	_, err := client.ForwardClaim(t.Context(), "b", sampleClaim())
 	if err == nil || errkind.Is(err, errkind.StoreUnavailable) {
-		t.Errorf("error %v: the sender would take it for an answer", err)
+		t.Errorf("error %v: the sender would treat it as a reply", err)
 	}
 }
 
-// Symptom: a claim that its sender has given up is recorded after all. Events:
-// the connection breaks before the reply; the transport sends the call again
-// on a new connection. Cause: a transport that repeats calls by itself.
-func TestClaimIsNotRepeatedByTheTransport(t *testing.T) {
+// Guards against a claim that is recorded although its sender has given it up: the
+// connection broke before the reply, and the HTTP transport sent the call again on a new
+// connection.
+func TestTransportDoesNotRetryClaims(t *testing.T) {
 	var calls atomic.Int32
-	client := serveBreaking(t, func(breakLast func()) ServerOptions {
+	client := startServerWithBreakableConnection(t, func(breakLast func()) ServerOptions {
 		return ServerOptions{Claim: func(context.Context, claim.Message) (claim.Reply, error) {
 			calls.Add(1)
 			breakLast()
@@ -85,6 +85,6 @@
 	})
 	_, err := client.ForwardClaim(t.Context(), "b", sampleClaim())
 	if err == nil || errors.Is(err, ErrNotSent) || calls.Load() != 1 {
-		t.Errorf("arrived %d times, error %v", calls.Load(), err)
+		t.Errorf("received %d times, error %v", calls.Load(), err)
 	}
 }
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -25,9 +25,9 @@
 type Options struct {
 	// Dial opens connections; nil dials TCP.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	TLS  *tls.Config // nil: HTTP/2 in clear
+	TLS  *tls.Config // nil: HTTP/2 in clear text
 	Self string      // instance id
-	// Address finds the peer address of an instance.
+	// Address returns the peer address of an instance.
 	Address func(instance string) (string, bool)
 	Logger  *event.Logger
 	Metrics *metrics.Registry
@@ -45,7 +45,7 @@
 
 var _ outcome.Remote = (*Client)(nil)
 
-// NewClient returns a client without connections.
+// NewClient returns a Client without connections.
 func NewClient(o Options) *Client {
 	c := &Client{o: o, scheme: "http", links: make(map[string]*link)}
 	if o.TLS != nil {
@@ -54,22 +54,22 @@
 	return c
 }
 
-// Close ends idle connections.
+// Close closes idle connections.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.retireAll()
 }
 
-// oneShot takes from requests what would let the transport send them again on
-// another connection.
+// noRetryTransport removes from requests what would allow the HTTP transport to retry
+// them on another connection.
 //
-// What goes wrong without it: a connection breaks while a forwarded request is
-// under way; the transport sends it again on its own, and a booking that is
-// not idempotent runs twice under one call, unseen by those who count runs.
-type oneShot struct{ next http.RoundTripper }
+// Otherwise, when a connection breaks during a forwarded request, the HTTP transport would
+// send it again by itself, and a booking that is not idempotent would run twice within one
+// call, without being counted twice.
+type noRetryTransport struct{ next http.RoundTripper }
 
-func (t oneShot) RoundTrip(req *http.Request) (*http.Response, error) {
+func (t noRetryTransport) RoundTrip(req *http.Request) (*http.Response, error) {
 	if req.GetBody != nil {
 		req = req.Clone(req.Context())
 		req.GetBody = nil
@@ -89,8 +89,8 @@
 	return address, nil
 }
 
-// of returns the link to an instance.
-func (c *Client) of(instance string) (*link, error) {
+// linkTo returns the link to an instance.
+func (c *Client) linkTo(instance string) (*link, error) {
 	address, err := c.addressOf(instance)
 	if err != nil {
 		return nil, err
@@ -98,18 +98,18 @@
 	return c.link(address), nil
 }
 
-// tracked marks errors of calls of which no byte was sent: none can have been
-// before the call had a connection. A call that gets no sign of life on a kept
-// connection makes the next one use another.
-func (c *Client) tracked(ctx context.Context, method string, l *link, call func(ctx context.Context) error) error {
-	observed, seen := observe(ctx)
+// call makes a call with metrics and adds ErrNotSent to its error if no byte was sent,
+// which is certain if the call got no connection. If the call received nothing on a kept
+// connection, the next call uses another one.
+func (c *Client) call(ctx context.Context, method string, l *link, call func(ctx context.Context) error) error {
+	observed, observation := observe(ctx)
 	err := call(observed)
 	result := "ok"
 	if err != nil {
 		result = "failed"
-		c.noteUnanswered(seen, method, l, cmp.Or(context.Cause(ctx), err))
+		c.recordUnanswered(observation, method, l, cmp.Or(context.Cause(ctx), err))
 		err = fromConnect(err)
-		if !seen.connected.Load() && !errors.Is(err, ErrNotSent) {
+		if !observation.connected.Load() && !errors.Is(err, ErrNotSent) {
 			err = fmt.Errorf("%w: %w", ErrNotSent, err)
 		}
 	}
@@ -119,8 +119,8 @@
 
 // Exchange implements membership.Transport.
 func (c *Client) Exchange(ctx context.Context, peerAddr string, d gossip.Digest) (gossip.Digest, error) {
-	reply, end, err := repeat(ctx, c, peerAddr, func(ctx context.Context, l *link) (reply gossip.Digest, err error) {
-		err = c.tracked(ctx, "exchange", l, func(ctx context.Context) error {
+	reply, end, err := hedge(ctx, c, peerAddr, func(ctx context.Context, l *link) (reply gossip.Digest, err error) {
+		err = c.call(ctx, "exchange", l, func(ctx context.Context) error {
 			out, err := l.client.Exchange(ctx, toProto(d))
 			if err != nil {
 				return err
@@ -141,8 +141,8 @@
 
 // Probe implements membership.Transport.
 func (c *Client) Probe(ctx context.Context, viaPeerAddr, targetPeerAddr string) error {
-	_, end, err := repeat(ctx, c, viaPeerAddr, func(ctx context.Context, l *link) (struct{}, error) {
-		return struct{}{}, c.tracked(ctx, "probe", l, func(ctx context.Context) error {
+	_, end, err := hedge(ctx, c, viaPeerAddr, func(ctx context.Context, l *link) (struct{}, error) {
+		return struct{}{}, c.call(ctx, "probe", l, func(ctx context.Context) error {
 			_, err := l.client.Probe(ctx, &peerpb.ProbeRequest{Target: targetPeerAddr})
 			return err
 		})
@@ -157,8 +157,8 @@
 	if err != nil {
 		return nil, 0, false, err
 	}
-	out, end, err := repeat(ctx, c, address, func(ctx context.Context, l *link) (out *peerpb.ProfilesReply, err error) {
-		err = c.tracked(ctx, "profiles", l, func(ctx context.Context) error {
+	out, end, err := hedge(ctx, c, address, func(ctx context.Context, l *link) (out *peerpb.ProfilesReply, err error) {
+		err = c.call(ctx, "profiles", l, func(ctx context.Context) error {
 			out, err = l.client.Profiles(ctx, &peerpb.ProfilesRequest{Prefix: prefix, After: after})
 			return err
 		})
@@ -176,11 +176,11 @@
 
 // Outcome implements outcome.Remote.
 func (c *Client) Outcome(ctx context.Context, instance string, key outcome.Key) (record outcome.Record, found bool, err error) {
-	l, err := c.of(instance)
+	l, err := c.linkTo(instance)
 	if err != nil {
 		return outcome.Record{}, false, err
 	}
-	err = c.tracked(ctx, "outcome", l, func(ctx context.Context) error {
+	err = c.call(ctx, "outcome", l, func(ctx context.Context) error {
 		out, err := l.client.Outcome(ctx, &peerpb.OutcomeRequest{Organisation: key.Organisation, Key: key.Key})
 		if err != nil || !out.GetFound() {
 			return err
@@ -191,13 +191,13 @@
 	return record, found && err == nil, err
 }
 
-// Burn asks an instance for its own service-level report.
+// Burn returns an instance's own report on its service-level objectives.
 func (c *Client) Burn(ctx context.Context, instance string, window time.Duration) (report lynxapi.BurnReport, err error) {
-	l, err := c.of(instance)
+	l, err := c.linkTo(instance)
 	if err != nil {
 		return report, err
 	}
-	err = c.tracked(ctx, "burn", l, func(ctx context.Context) error {
+	err = c.call(ctx, "burn", l, func(ctx context.Context) error {
 		out, err := l.client.Burn(ctx, &peerpb.BurnRequest{WindowMs: window.Milliseconds()})
 		if err != nil {
 			return err
@@ -207,9 +207,9 @@
 	return report, err
 }
 
-// Handover passes outcome records on to an instance, in calls of bounded size.
+// Handover sends outcome records to an instance, in calls of limited size.
 func (c *Client) Handover(ctx context.Context, instance string, records []outcome.Exported) error {
-	l, err := c.of(instance)
+	l, err := c.linkTo(instance)
 	if err != nil {
 		return err
 	}
@@ -219,7 +219,7 @@
 			return err
 		}
 		records = rest
-		err = c.tracked(ctx, "handover", l, func(ctx context.Context) error {
+		err = c.call(ctx, "handover", l, func(ctx context.Context) error {
 			_, err := l.client.Handover(ctx, &peerpb.HandoverRequest{From: c.o.Self, Records: batch})
 			return err
 		})
@@ -238,7 +238,7 @@
 			return nil, nil, err
 		}
 		size += len(text)
-		if size > handoverBytes && len(batch) > 0 {
+		if size > maxHandoverBytes && len(batch) > 0 {
 			return batch, records[i:], nil
 		}
 		batch = append(batch, &peerpb.OutcomeRecord{Organisation: r.Key.Organisation, Key: r.Key.Key, Record: text})
--- a/internal/peer/convert.go
+++ b/internal/peer/convert.go
@@ -9,10 +9,10 @@
 	"lynxhill.example/lynxhill/internal/peer/peerpb"
 )
 
-// Size returns the bytes of the digest as it is sent, without framing.
+// Size returns the encoded size of the digest in bytes, without framing.
 func Size(d gossip.Digest) int { return proto.Size(toProto(d)) }
 
-func mapped[A, B any](in []A, convert func(A) B) []B {
+func convertAll[A, B any](in []A, convert func(A) B) []B {
 	if len(in) == 0 {
 		return nil
 	}
@@ -26,23 +26,23 @@
 func millis(d time.Duration) uint64 { return uint64(max(d, 0).Milliseconds()) }
 
 func duration(ms uint64) time.Duration {
-	const longest = 24 * time.Hour // a row older than that says nothing; no overflow
+	const longest = 24 * time.Hour // older rows are of no use; prevents an overflow
 	return min(time.Duration(min(ms, uint64(longest.Milliseconds())))*time.Millisecond, longest)
 }
 
-// millisUp rounds up, for ages: a digest must not look fresher than it is.
-func millisUp(d time.Duration) uint64 { return millis(d + time.Millisecond - 1) }
+// millisRoundedUp rounds up, for ages: a digest must not appear more recent than it is.
+func millisRoundedUp(d time.Duration) uint64 { return millis(d + time.Millisecond - 1) }
 
 func toProto(d gossip.Digest) *peerpb.Digest {
 	return &peerpb.Digest{
 		From:     d.From,
-		Members:  mapped(d.Members, memberToProto),
-		Profiles: mapped(d.Profiles, versionToProto),
-		Loads:    mapped(d.Loads, loadToProto),
-		Usage:    mapped(d.Usage, usageToProto),
-		Refusals: mapped(d.Refusals, refusalToProto),
-		Notices:  mapped(d.Notices, noticeToProto),
-		Burn:     mapped(d.Burn, burnToProto),
+		Members:  convertAll(d.Members, memberToProto),
+		Profiles: convertAll(d.Profiles, versionToProto),
+		Loads:    convertAll(d.Loads, loadToProto),
+		Usage:    convertAll(d.Usage, usageToProto),
+		Refusals: convertAll(d.Refusals, refusalToProto),
+		Notices:  convertAll(d.Notices, noticeToProto),
+		Burn:     convertAll(d.Burn, burnToProto),
 		Sums:     d.Sums,
 		Config:   configToProto(d.Config),
 	}
@@ -51,13 +51,13 @@
 func fromProto(d *peerpb.Digest) gossip.Digest {
 	return gossip.Digest{
 		From:     d.GetFrom(),
-		Members:  mapped(d.GetMembers(), memberFromProto),
-		Profiles: mapped(d.GetProfiles(), versionFromProto),
-		Loads:    mapped(d.GetLoads(), loadFromProto),
-		Usage:    mapped(d.GetUsage(), usageFromProto),
-		Refusals: mapped(d.GetRefusals(), refusalFromProto),
-		Notices:  mapped(d.GetNotices(), noticeFromProto),
-		Burn:     mapped(d.GetBurn(), burnFromProto),
+		Members:  convertAll(d.GetMembers(), memberFromProto),
+		Profiles: convertAll(d.GetProfiles(), versionFromProto),
+		Loads:    convertAll(d.GetLoads(), loadFromProto),
+		Usage:    convertAll(d.GetUsage(), usageFromProto),
+		Refusals: convertAll(d.GetRefusals(), refusalFromProto),
+		Notices:  convertAll(d.GetNotices(), noticeFromProto),
+		Burn:     convertAll(d.GetBurn(), burnFromProto),
 		Sums:     d.GetSums(),
 		Config:   configFromProto(d.GetConfig()),
 	}
@@ -66,13 +66,13 @@
 func configToProto(c gossip.Config) *peerpb.Config {
 	out := &peerpb.Config{
 		Confirmed:    c.Confirmed,
-		ConfirmAgeMs: millisUp(c.ConfirmAge),
+		ConfirmAgeMs: millisRoundedUp(c.ConfirmAge),
 		Serving:      c.Serving,
 		Loaded:       c.Loaded,
 	}
 	for _, h := range c.Heard {
 		out.HeardMembers = append(out.HeardMembers, h.Member)
-		out.HeardAgesMs = append(out.HeardAgesMs, uint32(millisUp(h.Age)))
+		out.HeardAgesMs = append(out.HeardAgesMs, uint32(millisRoundedUp(h.Age)))
 	}
 	return out
 }
@@ -149,7 +149,7 @@
 	return &peerpb.Load{
 		Target:      l.Target,
 		Seq:         l.Seq,
-		AgeMs:       millisUp(l.Age),
+		AgeMs:       millisRoundedUp(l.Age),
 		Running:     uint32(max(l.Running, 0)),
 		Queued:      uint32(max(l.Queued, 0)),
 		Slots:       uint32(max(l.Slots, 0)),
@@ -157,7 +157,7 @@
 		KvUsed:      float32(l.KVUsed),
 		Leaving:     l.Leaving,
 		ModelsKnown: l.ModelsKnown,
-		Models:      mapped(l.Models, modelToProto),
+		Models:      convertAll(l.Models, modelToProto),
 		Role:        l.Role,
 	}
 }
@@ -174,7 +174,7 @@
 		KVUsed:      float64(l.GetKvUsed()),
 		Leaving:     l.GetLeaving(),
 		ModelsKnown: l.GetModelsKnown(),
-		Models:      mapped(l.GetModels(), modelFromProto),
+		Models:      convertAll(l.GetModels(), modelFromProto),
 		Role:        l.GetRole(),
 	}
 }
@@ -205,8 +205,8 @@
 
 func noticeToProto(n gossip.Notice) *peerpb.Notice {
 	return &peerpb.Notice{
-		Target: n.Target, Leaving: n.Leaving, LeavingAgeMs: millisUp(n.LeavingAge),
-		LimitBy: n.Limit.By, LimitSeq: n.Limit.Seq, LimitAgeMs: millisUp(n.Limit.Age), LimitNamed: n.Limit.Named, LimitRate: n.Limit.Rate,
+		Target: n.Target, Leaving: n.Leaving, LeavingAgeMs: millisRoundedUp(n.LeavingAge),
+		LimitBy: n.Limit.By, LimitSeq: n.Limit.Seq, LimitAgeMs: millisRoundedUp(n.Limit.Age), LimitNamed: n.Limit.Named, LimitRate: n.Limit.Rate,
 	}
 }
 
--- a/internal/peer/errors.go
+++ b/internal/peer/errors.go
@@ -9,8 +9,8 @@
 	"lynxhill.example/lynxhill/internal/errkind"
 )
 
-// toConnect puts the errkind body of an error into the message of a call's
-// error, so that the caller gets the same kind.
+// toConnect encodes the errkind body of an error as the message of the call's error, so
+// that the caller gets an error of the same kind.
 func toConnect(err error) error {
 	if err == nil {
 		return nil
@@ -26,8 +26,8 @@
 	return body
 }
 
-// fromConnect restores the kind of a received error. Errors of the call itself
-// stay as they are.
+// fromConnect restores the kind of a received error. Errors of the call itself are
+// returned unchanged.
 func fromConnect(err error) error {
 	var call *connect.Error
 	if !errors.As(err, &call) || call.Code() != connect.CodeAborted {
--- a/internal/peer/forward.go
+++ b/internal/peer/forward.go
@@ -15,13 +15,13 @@
 	"lynxhill.example/lynxhill/internal/pipeline"
 )
 
-// stageWire is a stage report with its error as a body.
+// stageWire is a stage report whose error is encoded as an error body.
 type stageWire struct {
 	pipeline.StageReport
 	Err *errkind.Body `json:"Err,omitempty"`
 }
 
-// outcomeWire is an outcome whose stages can be sent.
+// outcomeWire is an outcome whose stage reports can be encoded.
 type outcomeWire struct {
 	pipeline.Outcome
 	Stages []stageWire
@@ -45,16 +45,15 @@
 	return r
 }
 
-// Forward runs a request at another instance, under whose ticket it came, and
-// passes its answer on to sink. The call is made once and never repeated. An
-// error of the instance keeps its kind. If the call itself fails, the kind
-// says not run (NoTarget) only if no byte was sent; ErrNotSent is then in the
-// chain. Otherwise it is StreamBroken.
+// Forward runs a request at the instance whose ticket it came with, and relays the
+// response to sink. The call is made once and never retried. An error that the instance
+// returned keeps its kind. If the call itself fails, its kind is NoTarget (not run) only
+// if no byte was sent, with ErrNotSent in the chain, and StreamBroken otherwise.
 func (c *Client) Forward(ctx context.Context, instance string, req pipeline.Request, sink pipeline.Sink) (pipeline.Outcome, error) {
 	var out pipeline.Outcome
-	l, err := c.of(instance)
+	l, err := c.linkTo(instance)
 	if err == nil {
-		err = c.tracked(ctx, "forward", l, func(ctx context.Context) error {
+		err = c.call(ctx, "forward", l, func(ctx context.Context) error {
 			var err error
 			out, err = c.forward(ctx, l, req, sink)
 			return err
@@ -63,10 +62,10 @@
 	if err == nil {
 		return out, nil
 	}
-	var answered answeredError
+	var remote remoteError
 	switch {
-	case errors.As(err, &answered):
-		return pipeline.Outcome{}, answered.error
+	case errors.As(err, &remote):
+		return pipeline.Outcome{}, remote.error
 	case errors.Is(err, ErrNotSent):
 		return pipeline.Outcome{}, errkind.Wrap(err, errkind.NoTarget, "instance %s could not be reached", instance)
 	case context.Cause(ctx) == context.Canceled:
@@ -76,14 +75,13 @@
 	}
 }
 
-// answeredError is an error that the instance itself answered with, as opposed
-// to one of the call.
-type answeredError struct{ error }
+// remoteError is an error that the instance returned, as opposed to one of the call.
+type remoteError struct{ error }
 
 var (
-	errCut    = errors.New("peer: the answer ended without its end mark")
-	errSilent = errors.New("peer: the answer went silent")
-	errGap    = errors.New("peer: the answer has a gap")
+	errTruncated = errors.New("peer: the answer ended without its end mark")
+	errSilent    = errors.New("peer: the answer went silent")
+	errGap       = errors.New("peer: the answer has a gap")
 )
 
 func (c *Client) forward(ctx context.Context, l *link, req pipeline.Request, sink pipeline.Sink) (pipeline.Outcome, error) {
@@ -93,7 +91,7 @@
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	watchdog := time.AfterFunc(silentAfter, func() { cancel(errSilent) })
+	watchdog := time.AfterFunc(forwardSilenceTimeout, func() { cancel(errSilent) })
 	defer watchdog.Stop()
 	stream, err := l.client.Forward(ctx, &peerpb.ForwardRequest{
 		Request:        text,
@@ -101,31 +99,31 @@
 		DeadlineLeftMs: time.Until(req.Deadline).Milliseconds(),
 	})
 	if err != nil {
-		return pipeline.Outcome{}, silence(ctx, err)
+		return pipeline.Outcome{}, silenceError(ctx, err)
 	}
 	defer stream.Close()
 	offset := 0
 	for stream.Receive() {
-		watchdog.Reset(silentAfter)
+		watchdog.Reset(forwardSilenceTimeout)
 		out, done, err := receive(stream.Msg(), sink, &offset)
 		if done || err != nil {
 			return out, err
 		}
 	}
 	if err := stream.Err(); err != nil {
-		return pipeline.Outcome{}, silence(ctx, err)
+		return pipeline.Outcome{}, silenceError(ctx, err)
 	}
-	return pipeline.Outcome{}, errCut
+	return pipeline.Outcome{}, errTruncated
 }
 
-func silence(ctx context.Context, err error) error {
+func silenceError(ctx context.Context, err error) error {
 	if context.Cause(ctx) == errSilent {
 		return errSilent
 	}
 	return err
 }
 
-// receive takes one event; done says that it was the end mark.
+// receive handles one event; done reports that it was the end of the response.
 func receive(msg *peerpb.ForwardEvent, sink pipeline.Sink, offset *int) (out pipeline.Outcome, done bool, err error) {
 	switch e := msg.GetEvent().(type) {
 	case *peerpb.ForwardEvent_Frame:
@@ -145,7 +143,7 @@
 		return out, true, err
 	case *peerpb.ForwardEvent_Error:
 		if restored, ok := fromBody(e.Error); ok {
-			return out, true, answeredError{restored}
+			return out, true, remoteError{restored}
 		}
 		return out, true, io.ErrUnexpectedEOF
 	}
@@ -158,13 +156,13 @@
 		return pipeline.Outcome{}, err
 	}
 	out := w.Outcome
-	out.Stages = mapped(w.Stages, stageFromWire)
+	out.Stages = convertAll(w.Stages, stageFromWire)
 	return out, nil
 }
 
-// streamSink sends what a pipeline delivers. Heartbeats come from another
-// goroutine, so sends are under a lock; a send that blocks is bounded by the
-// caller's own watchdog, which ends the call.
+// streamSink sends the output of a pipeline. Heartbeats are sent by another goroutine, so
+// a lock serialises sends. A send that blocks is ended by the caller's watchdog, which
+// cancels the call.
 type streamSink struct {
 	mu     sync.Mutex // guards stream
 	stream *connect.ServerStream[peerpb.ForwardEvent]
@@ -186,13 +184,13 @@
 func (s *streamSink) StageDone(report pipeline.StageReport) {
 	text, err := json.Marshal(stageToWire(report))
 	if err != nil {
-		return // a report that cannot be sent costs a line in a report, not the answer
+		return // a report that cannot be encoded is missing, which does not affect the response
 	}
 	_ = s.send(&peerpb.ForwardEvent{Event: &peerpb.ForwardEvent_Stage{Stage: text}})
 }
 
 func (s *streamSink) heartbeats(ctx context.Context) {
-	ticker := time.NewTicker(heartbeatEvery)
+	ticker := time.NewTicker(forwardHeartbeatInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -214,7 +212,7 @@
 	if err != nil {
 		return sink.send(&peerpb.ForwardEvent{Event: &peerpb.ForwardEvent_Error{Error: bodyJSON(err, out.RequestID)}})
 	}
-	w := outcomeWire{Outcome: out, Stages: mapped(out.Stages, stageToWire)}
+	w := outcomeWire{Outcome: out, Stages: convertAll(out.Stages, stageToWire)}
 	text, err := json.Marshal(w)
 	if err != nil {
 		return toConnect(err)
@@ -229,9 +227,9 @@
 	}
 	req.Received = time.Now()
 	req.Deadline = req.Received.Add(time.Duration(in.GetDeadlineLeftMs()) * time.Millisecond)
-	beats, stop := context.WithCancel(ctx)
+	heartbeatCtx, stop := context.WithCancel(ctx)
 	var wg sync.WaitGroup
-	wg.Go(func() { sink.heartbeats(beats) })
+	wg.Go(func() { sink.heartbeats(heartbeatCtx) })
 	defer wg.Wait()
 	defer stop()
 	return h.o.Forward(ctx, in.GetFrom(), req, sink)
--- a/internal/peer/links.go
+++ b/internal/peer/links.go
@@ -14,27 +14,27 @@
 )
 
 const (
-	// suspectAfter is how long a call waits for a sign of life on a kept
-	// connection before it is made once more on a new one.
-	suspectAfter = 150 * time.Millisecond
-	// restedFor is how long nothing must have come on a connection before a call
-	// for the call to suspect it. A busy peer that was heard just now is only slow.
-	restedFor = 500 * time.Millisecond
-	// maxLinks bounds the links kept by address; they are small, and made anew
-	// when needed.
+	// hedgeDelay is how long a hedged call waits for data on a kept connection before
+	// it is made again on a new one.
+	hedgeDelay = 150 * time.Millisecond
+	// minHedgeIdleTime is how long a connection must have received nothing before a call
+	// for the call to be hedged. A peer that has responded more recently is only slow.
+	minHedgeIdleTime = 500 * time.Millisecond
+	// maxLinks bounds the number of links kept by address. They are small, and created
+	// again when needed.
 	maxLinks = 2048
-	// retireAfter is how long calls may go on over a connection that takes no new
-	// ones.
-	retireAfter = time.Minute
+	// retireTimeout is how long calls may continue on a connection that gets no new
+	// calls.
+	retireTimeout = time.Minute
 )
 
-// link is the way to one address: a transport, which keeps one connection.
+// link is the connection to one address: an HTTP transport, which keeps one connection.
 type link struct {
-	address   string
-	transport *http.Transport
-	client    peerpbconnect.PeerClient
-	conn      atomic.Pointer[heardConn] // the newest; nil = none was opened
-	doubted   atomic.Int64              // when its silence was suspected, Unix ns; 0 = never
+	address     string
+	transport   *http.Transport
+	client      peerpbconnect.PeerClient
+	conn        atomic.Pointer[trackedConn] // the newest; nil = none has been opened
+	suspectedAt atomic.Int64                // when it was suspected to be silent, Unix ns; 0 = never
 }
 
 func (c *Client) newLink(address string) *link {
@@ -46,13 +46,13 @@
 		HTTP2:           http2Config(),
 		IdleConnTimeout: idleTimeout,
 	}
-	l.client = peerpbconnect.NewPeerClient(&http.Client{Transport: oneShot{l.transport}}, c.scheme+"://"+address,
+	l.client = peerpbconnect.NewPeerClient(&http.Client{Transport: noRetryTransport{l.transport}}, c.scheme+"://"+address,
 		connect.WithReadMaxBytes(maxMessageBytes), connect.WithSendMaxBytes(maxMessageBytes))
 	return l
 }
 
-// dialer returns a function that opens connections as the options say and notes
-// them.
+// dialer returns a function that opens connections with the Dial function of the options
+// and records the newest one.
 func (l *link) dialer(o Options) func(ctx context.Context, network, address string) (net.Conn, error) {
 	dial := o.Dial
 	if dial == nil {
@@ -63,39 +63,38 @@
 		if err != nil {
 			return nil, err
 		}
-		heard := newHeardConn(conn)
-		l.conn.Store(heard)
-		return heard, nil
+		tracked := newTrackedConn(conn)
+		l.conn.Store(tracked)
+		return tracked, nil
 	}
 }
 
-// heardSince reports whether anything came after the time.
-func (l *link) heardSince(t time.Time) bool {
+// readSince reports whether data has been received after the time.
+func (l *link) readSince(t time.Time) bool {
 	conn := l.conn.Load()
-	return conn != nil && conn.lastHeard().After(t)
+	return conn != nil && conn.lastRead().After(t)
 }
 
-// rested reports whether nothing has come for a while on a connection that was
-// kept.
-func (l *link) rested() bool {
+// idle reports whether a kept connection has received nothing for minHedgeIdleTime.
+func (l *link) idle() bool {
 	conn := l.conn.Load()
-	return conn != nil && time.Since(conn.lastHeard()) >= restedFor
+	return conn != nil && time.Since(conn.lastRead()) >= minHedgeIdleTime
 }
 
-// doubt has the next call use a new connection unless something comes before it.
-func (l *link) doubt(now time.Time) { l.doubted.Store(now.UnixNano()) }
+// suspect makes the next call use a new connection unless data is received before it.
+func (l *link) suspect(now time.Time) { l.suspectedAt.Store(now.UnixNano()) }
 
-// isDoubted reports whether nothing has come since the link was doubted.
-func (l *link) isDoubted() bool {
-	at := l.doubted.Load()
-	return at != 0 && !l.heardSince(time.Unix(0, at))
+// isSuspect reports whether nothing has been received since the link was suspected.
+func (l *link) isSuspect() bool {
+	at := l.suspectedAt.Load()
+	return at != 0 && !l.readSince(time.Unix(0, at))
 }
 
-// retire closes the connection once it carries no calls, at the latest by its
-// pings.
+// retire closes the connection if it is idle, now or after retireTimeout. A silent
+// connection with calls is closed when its pings fail.
 func (l *link) retire() {
 	l.transport.CloseIdleConnections()
-	time.AfterFunc(retireAfter, l.transport.CloseIdleConnections)
+	time.AfterFunc(retireTimeout, l.transport.CloseIdleConnections)
 }
 
 // link returns the link for the next call to the address.
@@ -103,7 +102,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	old := c.links[address]
-	if old != nil && !old.isDoubted() {
+	if old != nil && !old.isSuspect() {
 		return old
 	}
 	if len(c.links) >= maxLinks {
@@ -117,7 +116,7 @@
 	return l
 }
 
-// retireAll drops all links. The caller holds mu.
+// retireAll removes all links. The caller holds mu.
 func (c *Client) retireAll() {
 	for address, l := range c.links {
 		delete(c.links, address)
@@ -125,24 +124,23 @@
 	}
 }
 
-// replace puts the fresh link in the place of one whose connection is silent, and
-// doubts all others that were not heard since: connections often go silent
-// together.
+// replace replaces a link whose connection is silent, and suspects all other links that
+// have received nothing since then: connections often become silent at the same time.
 func (c *Client) replace(silent, fresh *link, since time.Time) {
 	conn := silent.conn.Load()
 	c.o.Logger.Log(event.PeerConnectionSilent, "address", silent.address,
-		"silent_ms", time.Since(conn.lastHeard()).Milliseconds(), "open_ms", time.Since(conn.opened).Milliseconds())
+		"silent_ms", time.Since(conn.lastRead()).Milliseconds(), "open_ms", time.Since(conn.opened).Milliseconds())
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.links[silent.address] == silent {
 		c.links[silent.address] = fresh
 	} else {
-		fresh.retire() // another call was first
+		fresh.retire() // another call has already replaced it
 	}
 	silent.retire()
 	for _, l := range c.links {
-		if l != fresh && l.conn.Load() != nil && !l.heardSince(since) {
-			l.doubt(since)
+		if l != fresh && l.conn.Load() != nil && !l.readSince(since) {
+			l.suspect(since)
 		}
 	}
 }
--- a/internal/peer/mempeer/mempeer.go
+++ b/internal/peer/mempeer/mempeer.go
@@ -1,5 +1,5 @@
-// Package mempeer connects instances in memory, with faults: the counterpart
-// of internal/peer for tests in virtual time.
+// Package mempeer connects instances in memory, with fault injection. It replaces
+// internal/peer in tests with virtual time.
 package mempeer
 
 import (
@@ -13,7 +13,7 @@
 	"lynxhill.example/lynxhill/internal/store"
 )
 
-// ErrUnreachable is the error of a call that got no answer.
+// ErrUnreachable is the error of a call without a reply.
 var ErrUnreachable = errors.New("mempeer: unreachable")
 
 // Node is the server side of one instance.
@@ -22,12 +22,12 @@
 	Since  func(prefix string, after uint64) (objects []store.Object, mark uint64, more bool)
 }
 
-// Network carries the calls. Its faults may be changed at any time.
+// Network delivers the calls. Its faults may be changed at any time.
 type Network struct {
 	delay time.Duration // one way
 	sleep func(ctx context.Context, d time.Duration) bool
 
-	mu      sync.Mutex // guards what follows
+	mu      sync.Mutex // guards the following fields
 	nodes   map[string]Node
 	blocked map[link]bool
 	paused  map[string]chan struct{}
@@ -36,14 +36,14 @@
 
 type link struct{ from, to string }
 
-// Traffic counts an instance's digests, as sent and received.
+// Traffic counts the digests that an instance sent and received.
 type Traffic struct {
 	Digests int
 	Bytes   int
 }
 
-// New returns a network with a one-way delay. sleep waits in the time of the
-// test and returns false when ctx ended first.
+// New returns a network with a one-way delay. sleep waits in the test's time and returns
+// false if ctx was cancelled first.
 func New(delay time.Duration, sleep func(ctx context.Context, d time.Duration) bool) *Network {
 	return &Network{
 		delay:   delay,
@@ -55,28 +55,28 @@
 	}
 }
 
-// Join puts an instance at an address.
+// Join attaches an instance to an address.
 func (n *Network) Join(addr string, node Node) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.nodes[addr] = node
 }
 
-// Drop takes the instance at the address away, as a crash does.
+// Drop removes the instance at the address, as a crash does.
 func (n *Network) Drop(addr string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.nodes, addr)
 }
 
-// Block loses everything sent from one address to another, one way.
+// Block drops all messages from one address to another, in this direction only.
 func (n *Network) Block(from, to string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.blocked[link{from, to}] = true
 }
 
-// Split blocks both ways between two groups.
+// Split blocks messages between two groups in both directions.
 func (n *Network) Split(a, b []string) {
 	for _, x := range a {
 		for _, y := range b {
@@ -86,14 +86,14 @@
 	}
 }
 
-// Heal ends all blocks.
+// Heal removes all blocks.
 func (n *Network) Heal() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	clear(n.blocked)
 }
 
-// Pause stops an instance: its calls and those to it hang until Resume.
+// Pause pauses an instance: its calls and calls to it block until Resume.
 func (n *Network) Pause(addr string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -102,7 +102,7 @@
 	}
 }
 
-// Resume ends a pause.
+// Resume resumes a paused instance.
 func (n *Network) Resume(addr string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -112,8 +112,8 @@
 	}
 }
 
-// Wait blocks while the instance is paused. A test's boot clock calls it, so
-// that a paused instance does not see time pass.
+// Wait blocks while the instance is paused. The boot clock of a test calls it, so that no
+// time passes for a paused instance.
 func (n *Network) Wait(addr string) {
 	n.mu.Lock()
 	gate := n.paused[addr]
@@ -123,7 +123,7 @@
 	}
 }
 
-// Traffic returns the counts of an address.
+// Traffic returns the traffic of the instance at an address.
 func (n *Network) Traffic(addr string) Traffic {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -142,8 +142,8 @@
 	}
 }
 
-// pass carries one message one way.
-func (n *Network) pass(ctx context.Context, from, to string) (Node, error) {
+// deliver delivers one message in one direction and returns the receiver.
+func (n *Network) deliver(ctx context.Context, from, to string) (Node, error) {
 	n.Wait(from)
 	if !n.sleep(ctx, n.delay) {
 		return Node{}, ctx.Err()
@@ -172,15 +172,15 @@
 	return node, nil
 }
 
-// Client is one instance's side of the network.
+// Client is the client of one instance.
 type Client struct {
 	network *Network
 	addr    string
 	address func(instance string) (string, bool)
 }
 
-// Client returns the client of the instance at addr. address finds others by
-// id.
+// Client returns the client of the instance at addr. address returns the addresses of
+// other instances by id.
 func (n *Network) Client(addr string, address func(instance string) (string, bool)) *Client {
 	return &Client{network: n, addr: addr, address: address}
 }
@@ -188,13 +188,13 @@
 // Exchange implements membership.Transport.
 func (c *Client) Exchange(ctx context.Context, to string, d gossip.Digest) (gossip.Digest, error) {
 	c.network.count(c.addr, to, d)
-	node, err := c.network.pass(ctx, c.addr, to)
+	node, err := c.network.deliver(ctx, c.addr, to)
 	if err != nil {
 		return gossip.Digest{}, err
 	}
 	reply := node.Handle(ctx, d)
 	c.network.count(to, c.addr, reply)
-	if _, err := c.network.pass(ctx, to, c.addr); err != nil {
+	if _, err := c.network.deliver(ctx, to, c.addr); err != nil {
 		return gossip.Digest{}, err
 	}
 	return reply, nil
@@ -203,7 +203,7 @@
 // Probe implements membership.Transport.
 func (c *Client) Probe(ctx context.Context, via, target string) error {
 	for _, hop := range []link{{c.addr, via}, {via, target}, {target, via}, {via, c.addr}} {
-		if _, err := c.network.pass(ctx, hop.from, hop.to); err != nil {
+		if _, err := c.network.deliver(ctx, hop.from, hop.to); err != nil {
 			return err
 		}
 	}
@@ -216,12 +216,12 @@
 	if !ok {
 		return nil, 0, false, ErrUnreachable
 	}
-	node, err := c.network.pass(ctx, c.addr, to)
+	node, err := c.network.deliver(ctx, c.addr, to)
 	if err != nil {
 		return nil, 0, false, err
 	}
 	objects, mark, more := node.Since(prefix, after)
-	if _, err := c.network.pass(ctx, to, c.addr); err != nil {
+	if _, err := c.network.deliver(ctx, to, c.addr); err != nil {
 		return nil, 0, false, err
 	}
 	return objects, mark, more, nil
--- a/internal/peer/observe_test.go
+++ b/internal/peer/observe_test.go
@@ -16,34 +16,34 @@
 	"lynxhill.example/lynxhill/internal/event"
 )
 
-// severable dials connections that can be made to go silent for good: what is
-// written is dropped and nothing more is read. Later ones work.
-type severable struct {
+// severableDialer dials connections that can be made silent permanently: written data is
+// dropped and nothing more is read. Connections opened later work.
+type severableDialer struct {
 	mu    sync.Mutex // guards conns
-	conns []*severedConn
+	conns []*severableConn
 }
 
-type severedConn struct {
+type severableConn struct {
 	net.Conn
 	severed atomic.Bool
 	closed  chan struct{}
 	once    sync.Once // guards the close of closed
 }
 
-func (s *severable) dial(ctx context.Context, network, address string) (net.Conn, error) {
+func (s *severableDialer) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	conn, err := new(net.Dialer).DialContext(ctx, network, address)
 	if err != nil {
 		return nil, err
 	}
-	c := &severedConn{Conn: conn, closed: make(chan struct{})}
+	c := &severableConn{Conn: conn, closed: make(chan struct{})}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.conns = append(s.conns, c)
 	return c, nil
 }
 
-// sever makes all connections that are open go silent.
-func (s *severable) sever() {
+// sever makes all open connections silent.
+func (s *severableDialer) sever() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, c := range s.conns {
@@ -51,15 +51,15 @@
 	}
 }
 
-// dialed returns how many connections were opened.
-func (s *severable) dialed() int {
+// dialed returns how many connections have been opened.
+func (s *severableDialer) dialed() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
 }
 
-// open returns how many connections work and are open.
-func (s *severable) open() (n int) {
+// open returns how many working connections are open.
+func (s *severableDialer) open() (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, c := range s.conns {
@@ -74,7 +74,7 @@
 	return n
 }
 
-func (c *severedConn) Read(p []byte) (int, error) {
+func (c *severableConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if c.severed.Load() {
 		<-c.closed
@@ -83,19 +83,19 @@
 	return n, err
 }
 
-func (c *severedConn) Write(p []byte) (int, error) {
+func (c *severableConn) Write(p []byte) (int, error) {
 	if c.severed.Load() {
 		return len(p), nil
 	}
 	return c.Conn.Write(p)
 }
 
-func (c *severedConn) Close() error {
+func (c *severableConn) Close() error {
 	c.once.Do(func() { close(c.closed) })
 	return c.Conn.Close()
 }
 
-// lockedBuffer is a buffer that several goroutines write to.
+// lockedBuffer is a buffer that is safe for concurrent use.
 type lockedBuffer struct {
 	mu sync.Mutex // guards b
 	b  bytes.Buffer
@@ -113,11 +113,12 @@
 	return l.b.String()
 }
 
-// A call that is given up on a silent connection is logged with the connection's silence.
-func TestCallGivenUpOnASilentConnectionIsLogged(t *testing.T) {
-	_, addr := serve(t, ServerOptions{Claim: func(context.Context, claim.Message) (claim.Reply, error) { return claim.Reply{}, nil }})
+// TestUnansweredCallIsLogged checks that a call that ends on a silent connection is logged,
+// with how long the connection has been silent.
+func TestUnansweredCallIsLogged(t *testing.T) {
+	_, addr := startServer(t, ServerOptions{Claim: func(context.Context, claim.Message) (claim.Reply, error) { return claim.Reply{}, nil }})
 	var lines lockedBuffer
-	var links severable
+	var links severableDialer
 	client := NewClient(Options{
 		Self: "a", Dial: links.dial, Address: func(string) (string, bool) { return addr, true },
 		Logger: event.NewLogger(log.NewLogfmtLogger(&lines)),
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,8 +1,9 @@
-// Package peer carries the calls between instances: connect over HTTP/2, in
-// clear or with mutual TLS. The messages are in peerpb.
+// Package peer implements the calls between instances: Connect over HTTP/2, in clear
+// text or with mutual TLS. The messages are defined in peerpb.
 //
-// A connection that went silent is found by HTTP/2 pings. No call is repeated
-// here: those that may be repeated are repeated by their callers, who know.
+// HTTP/2 pings detect dead connections. The transport retries no call. Calls that are
+// safe to repeat are hedged on a second connection if the first one is silent; all
+// other retries are up to the callers.
 package peer
 
 import (
@@ -17,23 +18,24 @@
 	"lynxhill.example/lynxhill/internal/metrics"
 )
 
-// Limits and times of the calls.
+// Limits and timeouts of the calls.
 const (
-	// maxMessageBytes bounds any one message, both sent and received.
+	// maxMessageBytes is the maximum size of a message, both sent and received.
 	maxMessageBytes = 8 << 20
-	// headerWait is how long a caller may take for its header.
-	headerWait = 5 * time.Second
-	// pingAfter is the silence after which a connection is pinged, pingWait
-	// how long the answer may take before the connection is given up.
-	pingAfter = 15 * time.Second
-	pingWait  = 3 * time.Second
-	// heartbeatEvery is how often a forwarded request shows that it lives.
-	heartbeatEvery = 2 * time.Second
-	// silentAfter is the silence after which a forwarded request is given up.
-	silentAfter = 4 * heartbeatEvery
-	// handoverBytes is about the size of one Handover call.
-	handoverBytes = 1 << 20
-	idleTimeout   = 5 * time.Minute
+	// headerTimeout is the time limit for reading the header of a call.
+	headerTimeout = 5 * time.Second
+	// pingIdleTime is how long a connection receives nothing until it is pinged,
+	// pingTimeout how long the reply may take before the connection is closed.
+	pingIdleTime = 15 * time.Second
+	pingTimeout  = 3 * time.Second
+	// forwardHeartbeatInterval is the interval of the heartbeats of a forwarded request.
+	forwardHeartbeatInterval = 2 * time.Second
+	// forwardSilenceTimeout is how long a forwarded request may receive nothing before
+	// it is abandoned.
+	forwardSilenceTimeout = 4 * forwardHeartbeatInterval
+	// maxHandoverBytes is the approximate maximum size of one Handover call.
+	maxHandoverBytes = 1 << 20
+	idleTimeout      = 5 * time.Minute
 )
 
 // ErrNotSent is in the chain of an error if no byte of the call was sent.
@@ -45,7 +47,7 @@
 	metricBytes  = metrics.Define("peer_digest_bytes", "bytes", "Digests sent and received, as encoded, without framing.")
 )
 
-// protocols is HTTP/2 only: in clear without TLS settings.
+// protocols returns HTTP/2 only, in clear text if there are no TLS settings.
 func protocols(config *tls.Config) *http.Protocols {
 	p := new(http.Protocols)
 	if config == nil {
@@ -57,24 +59,24 @@
 }
 
 func http2Config() *http.HTTP2Config {
-	return &http.HTTP2Config{SendPingTimeout: pingAfter, PingTimeout: pingWait}
+	return &http.HTTP2Config{SendPingTimeout: pingIdleTime, PingTimeout: pingTimeout}
 }
 
-// NewServer returns a server for the handler with the protocols and pings that
-// clients expect. The caller listens, wrapping the listener for TLS.
+// NewServer returns a server for the handler with the protocols and pings that clients
+// expect. The caller provides the listener, wrapped for TLS if needed.
 func NewServer(handler http.Handler, config *tls.Config, logger *event.Logger) *http.Server {
 	return &http.Server{
 		Handler:           handler,
 		TLSConfig:         config,
 		Protocols:         protocols(config),
 		HTTP2:             http2Config(),
-		ReadHeaderTimeout: headerWait,
+		ReadHeaderTimeout: headerTimeout,
 		IdleTimeout:       idleTimeout,
 		ErrorLog:          log.New(errorLog{logger}, "", 0),
 	}
 }
 
-// errorLog writes what net/http reports as events.
+// errorLog logs the messages of net/http as events.
 type errorLog struct{ logger *event.Logger }
 
 func (e errorLog) Write(p []byte) (int, error) {
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -23,8 +23,8 @@
 	"lynxhill.example/lynxhill/internal/store"
 )
 
-// serve runs a peer API on loopback and returns a client that knows it as "b".
-func serve(t *testing.T, o ServerOptions) (*Client, string) {
+// startServer runs a peer API on loopback and returns a client that knows it as "b".
+func startServer(t *testing.T, o ServerOptions) (*Client, string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -57,7 +57,7 @@
 
 func TestEveryFieldOfADigestArrives(t *testing.T) {
 	var got gossip.Digest
-	client, addr := serve(t, ServerOptions{Exchange: func(_ context.Context, d gossip.Digest) gossip.Digest {
+	client, addr := startServer(t, ServerOptions{Exchange: func(_ context.Context, d gossip.Digest) gossip.Digest {
 		got = d
 		return d
 	}})
@@ -71,8 +71,8 @@
 	requireAllSet(t, reflect.ValueOf(sampleDigest()), "Digest")
 }
 
-// requireAllSet fails for a field of the sample that is empty: a field that is
-// added to the digest and not to the messages would else go unnoticed.
+// requireAllSet fails for an empty field of the sample: a field that is added to the digest
+// but not to the messages would otherwise be missed.
 func requireAllSet(t *testing.T, v reflect.Value, path string) {
 	t.Helper()
 	switch v.Kind() {
@@ -115,7 +115,7 @@
 	objects := []store.Object{{Key: "profiles/p", Version: 4, Value: []byte("v")}, {Key: "profiles/q", Version: 5, Deleted: true}}
 	record := outcome.Record{RequestID: "r", BodyHash: "h", Output: json.RawMessage(`"x"`)}
 	var handed []outcome.Exported
-	client, _ := serve(t, ServerOptions{
+	client, _ := startServer(t, ServerOptions{
 		Profiles: func(prefix string, after uint64) ([]store.Object, uint64, bool) {
 			return objects, after + 2, prefix == "profiles/"
 		},
@@ -139,10 +139,10 @@
 		t.Errorf("no record: %v %v", found, err)
 	}
 	if _, _, err = client.Outcome(t.Context(), "b", outcome.Key{Key: "bad"}); !errkind.Is(err, errkind.KeyExpired) {
-		t.Errorf("kind of a received error: %v", err)
+		t.Errorf("wrong kind of a received error: %v", err)
 	}
 	var large outcome.Exported
-	large.Record.Output, _ = json.Marshal(make([]byte, handoverBytes/2))
+	large.Record.Output, _ = json.Marshal(make([]byte, maxHandoverBytes/2))
 	if err := client.Handover(t.Context(), "b", []outcome.Exported{large, large, large}); err != nil || len(handed) != 3 {
 		t.Errorf("handover: %d records, %v", len(handed), err)
 	}
@@ -156,9 +156,9 @@
 func (s *sink) Frame(_ int, text string) error        { s.text += text; return nil }
 func (s *sink) StageDone(report pipeline.StageReport) { s.stages = append(s.stages, report) }
 
-func TestForwardPassesTheWholeAnswerOn(t *testing.T) {
+func TestForwardRelaysTheWholeResponse(t *testing.T) {
 	report := pipeline.StageReport{Stage: "draft", Attempts: 2, Err: errkind.New(errkind.TargetFailed, "gone")}
-	client, _ := serve(t, ServerOptions{Forward: func(_ context.Context, from string, req pipeline.Request, s pipeline.Sink) (pipeline.Outcome, error) {
+	client, _ := startServer(t, ServerOptions{Forward: func(_ context.Context, from string, req pipeline.Request, s pipeline.Sink) (pipeline.Outcome, error) {
 		if left := time.Until(req.Deadline); from != "a" || req.Key != "k" || left <= 0 || left > time.Minute {
 			return pipeline.Outcome{}, errkind.New(errkind.BadRequest, "from %s key %s left %v", from, req.Key, left)
 		}
@@ -178,7 +178,7 @@
 }
 
 func TestForwardKeepsTheKindOfAnError(t *testing.T) {
-	client, _ := serve(t, ServerOptions{Forward: func(context.Context, string, pipeline.Request, pipeline.Sink) (pipeline.Outcome, error) {
+	client, _ := startServer(t, ServerOptions{Forward: func(context.Context, string, pipeline.Request, pipeline.Sink) (pipeline.Outcome, error) {
 		return pipeline.Outcome{}, errkind.New(errkind.KeyReused, "another body")
 	}})
 	if _, err := client.Forward(t.Context(), "b", pipeline.Request{}, &sink{}); !errkind.Is(err, errkind.KeyReused) {
@@ -186,17 +186,16 @@
 	}
 }
 
-// Symptom: a caller was told that its booking was not run, and it had run.
-// Events: the home instance was down, and the next time it died with the
-// request under way. Cause: both looked like a failed call. Only the first may
-// say not run.
+// Guards against a caller that is informed that its booking was not run although it was.
+// Both an unreachable instance and an instance that crashed while it ran the request
+// appeared as a failed call. Only the former may be reported as not run.
 func TestForwardSaysNotRunOnlyIfNothingWasSent(t *testing.T) {
-	client, _ := serve(t, ServerOptions{Forward: func(context.Context, string, pipeline.Request, pipeline.Sink) (pipeline.Outcome, error) {
+	client, _ := startServer(t, ServerOptions{Forward: func(context.Context, string, pipeline.Request, pipeline.Sink) (pipeline.Outcome, error) {
 		panic(http.ErrAbortHandler)
 	}})
 	_, err := client.Forward(t.Context(), "b", pipeline.Request{}, &sink{})
 	if errkind.Of(err).RunState() != errkind.MayHaveRun || errors.Is(err, ErrNotSent) {
-		t.Errorf("died with the request: %v, run state %s", err, errkind.Of(err).RunState())
+		t.Errorf("crashed during the request: %v, run state %s", err, errkind.Of(err).RunState())
 	}
 	_, err = client.Forward(t.Context(), "nobody", pipeline.Request{}, &sink{})
 	if errkind.Of(err).RunState() != errkind.NotRun || !errors.Is(err, ErrNotSent) {
@@ -211,12 +210,12 @@
 	}
 }
 
-// Symptom: one forwarded booking ran twice. Events: the kept connection broke
-// right after the request went out; the transport sent it again on a new one.
-// Cause: transports repeat what they think can be repeated.
-func TestForwardIsNotRepeatedByTheTransport(t *testing.T) {
+// Guards against a forwarded booking that runs twice: the kept connection broke right after
+// the request was sent, and the HTTP transport, which retries some requests by itself, sent
+// it again on a new connection.
+func TestTransportDoesNotRetryForwards(t *testing.T) {
 	var runs atomic.Int32
-	client := serveBreaking(t, func(breakLast func()) ServerOptions {
+	client := startServerWithBreakableConnection(t, func(breakLast func()) ServerOptions {
 		return ServerOptions{Forward: func(context.Context, string, pipeline.Request, pipeline.Sink) (pipeline.Outcome, error) {
 			runs.Add(1)
 			breakLast()
@@ -229,9 +228,9 @@
 	}
 }
 
-// serveBreaking is serve with a connection that is kept open and that the
-// calls of options may break.
-func serveBreaking(t *testing.T, options func(breakLast func()) ServerOptions) *Client {
+// startServerWithBreakableConnection is like startServer, with an open kept connection that
+// the functions in options can break.
+func startServerWithBreakableConnection(t *testing.T, options func(breakLast func()) ServerOptions) *Client {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -258,7 +257,7 @@
 	addr := listener.Addr().String()
 	client := NewClient(Options{Address: func(string) (string, bool) { return addr, true }})
 	t.Cleanup(client.Close)
-	if _, err := client.Exchange(t.Context(), addr, gossip.Digest{}); err != nil { // opens the connection that is kept
+	if _, err := client.Exchange(t.Context(), addr, gossip.Digest{}); err != nil { // opens the kept connection
 		t.Fatal(err)
 	}
 	return client
--- a/internal/peer/peerpb/generate.go
+++ b/internal/peer/peerpb/generate.go
@@ -1,4 +1,4 @@
-// Package peerpb holds the messages of the calls between instances, generated
+// Package peerpb contains the messages of the calls between instances. They are generated
 // from peer.proto and committed.
 package peerpb
 
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -22,23 +22,23 @@
 	"lynxhill.example/lynxhill/internal/wire/lynxapi"
 )
 
-// ServerOptions are what the calls of other instances lead to. A nil function
-// answers that there is nothing.
+// ServerOptions are the functions that serve the calls of other instances. If one is nil,
+// its call returns an empty reply or is not implemented.
 type ServerOptions struct {
 	Exchange func(ctx context.Context, d gossip.Digest) gossip.Digest         // membership.Manager.Handle
 	Probe    func(ctx context.Context, targetPeerAddr string) error           // membership.Manager.HandleProbe
 	Profiles func(prefix string, after uint64) ([]store.Object, uint64, bool) // profilesync.Manager.Since
-	// Outcome waits for a key in flight until ctx ends.
+	// Outcome waits for the outcome of a key in flight until ctx is cancelled.
 	Outcome func(ctx context.Context, key outcome.Key) (record outcome.Record, found bool, err error)
-	// Forward runs a request under a ticket of this instance.
+	// Forward runs a request that came with a ticket of this instance.
 	Forward  func(ctx context.Context, from string, req pipeline.Request, sink pipeline.Sink) (pipeline.Outcome, error)
 	Handover func(ctx context.Context, from string, records []outcome.Exported)
 	Burn     func(window time.Duration) lynxapi.BurnReport
 	Claim    func(ctx context.Context, m claim.Message) (claim.Reply, error) // claim.Pages.Handle
-	// Work takes a job of another instance; stagework.Dispatcher.Submit. Neither
-	// result is set if the instance takes no jobs.
+	// Work accepts a job of another instance; stagework.Dispatcher.Submit. Both results
+	// are nil if the instance accepts no jobs.
 	Work func(job stagework.Job) (stagework.Assignment, *stagework.Refusal)
-	// CutOff reports whether this instance hears no other. nil = it always does.
+	// CutOff reports whether this instance receives nothing from any other. nil = never.
 	CutOff  func() bool
 	Logger  *event.Logger
 	Metrics *metrics.Registry
@@ -83,14 +83,14 @@
 		return &peerpb.ProfilesReply{}, nil
 	}
 	objects, mark, more := h.o.Profiles(in.GetPrefix(), in.GetAfter())
-	return &peerpb.ProfilesReply{Objects: mapped(objects, objectToProto), Mark: mark, More: more}, nil
+	return &peerpb.ProfilesReply{Objects: convertAll(objects, objectToProto), Mark: mark, More: more}, nil
 }
 
 func objectToProto(o store.Object) *peerpb.Object {
 	return &peerpb.Object{Key: o.Key, Version: o.Version, Value: o.Value, Deleted: o.Deleted}
 }
 
-// Outcome serves the question for the outcome of a key.
+// Outcome serves a query for the outcome of a key.
 func (h *service) Outcome(ctx context.Context, in *peerpb.OutcomeRequest) (*peerpb.OutcomeReply, error) {
 	h.count("outcome")
 	if h.o.Outcome == nil {
@@ -110,7 +110,7 @@
 	return &peerpb.OutcomeReply{Found: true, Record: text}, nil
 }
 
-// Handover takes over outcome records.
+// Handover receives the outcome records of an instance that stops.
 func (h *service) Handover(ctx context.Context, in *peerpb.HandoverRequest) (*peerpb.HandoverReply, error) {
 	h.count("handover")
 	var records []outcome.Exported
@@ -126,7 +126,7 @@
 	return &peerpb.HandoverReply{Kept: uint32(len(records))}, nil
 }
 
-// Burn serves this instance's service-level report.
+// Burn serves this instance's report on its service-level objectives.
 func (h *service) Burn(_ context.Context, in *peerpb.BurnRequest) (*peerpb.BurnReply, error) {
 	h.count("burn")
 	if h.o.Burn == nil {
--- a/internal/peer/tls_test.go
+++ b/internal/peer/tls_test.go
@@ -46,7 +46,7 @@
 	return tls.Certificate{Certificate: [][]byte{der}, PrivateKey: private}, pool
 }
 
-// firstLine passes on the first line that is logged.
+// firstLine sends the first logged line to a channel.
 type firstLine chan string
 
 func (c firstLine) Write(p []byte) (int, error) {
@@ -57,7 +57,7 @@
 	return len(p), nil
 }
 
-func TestPeersProveThemselvesOverTLS(t *testing.T) {
+func TestMutualTLS(t *testing.T) {
 	cert, pool := selfSigned(t)
 	logged := make(firstLine, 1)
 	server := NewServer(NewHandler(ServerOptions{Exchange: func(_ context.Context, d gossip.Digest) gossip.Digest { return d }}),
@@ -76,12 +76,12 @@
 	if reply, err := known.Exchange(t.Context(), addr, gossip.Digest{From: "a"}); err != nil || reply.From != "a" {
 		t.Errorf("with a certificate: %+v %v", reply, err)
 	}
-	stranger := NewClient(Options{TLS: &tls.Config{RootCAs: pool}})
-	defer stranger.Close()
-	if _, err := stranger.Exchange(t.Context(), addr, gossip.Digest{From: "x"}); err == nil {
-		t.Error("an exchange without a certificate was answered")
+	unknown := NewClient(Options{TLS: &tls.Config{RootCAs: pool}})
+	defer unknown.Close()
+	if _, err := unknown.Exchange(t.Context(), addr, gossip.Digest{From: "x"}); err == nil {
+		t.Error("an exchange without a certificate succeeded")
 	}
 	if line := <-logged; !strings.Contains(line, "event=3101") || !strings.Contains(line, "TLS handshake error") {
-		t.Errorf("the refusal is logged as %q", line)
+		t.Errorf("the rejection is logged as %q", line)
 	}
 }
--- a/internal/peer/work.go
+++ b/internal/peer/work.go
@@ -15,22 +15,23 @@
 	"lynxhill.example/lynxhill/internal/stagework"
 )
 
-// Times of a job at another instance.
+// Timeouts of a job at another instance.
 const (
-	// workTaken is how long a dispatcher may take to say that it has the job.
-	workTaken = 400 * time.Millisecond
-	// workBeat is how often a dispatcher shows that it lives while a job waits,
-	// workSilent the silence after which the job is handed to another.
-	workBeat   = 250 * time.Millisecond
-	workSilent = 900 * time.Millisecond
-	// ownerBeat is after how many messages of the dispatcher the owner shows
-	// that it lives, ownerSilent the silence after which the dispatcher ends
-	// the job: it is more than two signs that did not arrive.
-	ownerBeat   = 3
-	ownerSilent = 2200 * time.Millisecond
+	// workAcceptTimeout is how long a dispatcher may take to accept or reject the job.
+	workAcceptTimeout = 400 * time.Millisecond
+	// workHeartbeatInterval is the interval of the dispatcher's heartbeats while a job
+	// waits. If the owner receives nothing for workSilenceTimeout, it submits the job to
+	// another dispatcher.
+	workHeartbeatInterval = 250 * time.Millisecond
+	workSilenceTimeout    = 900 * time.Millisecond
+	// messagesPerOwnerHeartbeat is the number of the dispatcher's messages after which the
+	// owner sends a heartbeat. If the dispatcher receives nothing for ownerSilenceTimeout,
+	// which covers more than two lost heartbeats, it ends the job.
+	messagesPerOwnerHeartbeat = 3
+	ownerSilenceTimeout       = 2200 * time.Millisecond
 )
 
-var errWorkSilent = errors.New("peer: the dispatcher is silent")
+var errDispatcherSilent = errors.New("peer: the dispatcher is silent")
 
 // Work implements stagework.Remote.
 func (c *Client) Work(ctx context.Context, instance string, job stagework.Job) (stagework.Assignment, *stagework.Refusal, error) {
@@ -38,50 +39,51 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	began := time.Now()
-	// A dispatcher that gets a job twice ends the one whose stream is reset.
-	start, end, err := repeat(ctx, c, address, func(ctx context.Context, l *link) (startedWork, error) {
-		return c.startWork(ctx, l, job, workTaken-time.Since(began))
+	start := time.Now()
+	// A dispatcher that receives a job twice ends the one whose stream is reset.
+	started, end, err := hedge(ctx, c, address, func(ctx context.Context, l *link) (startedWork, error) {
+		return c.startWork(ctx, l, job, workAcceptTimeout-time.Since(start))
 	})
 	if err != nil {
 		c.o.Metrics.Labelled(metricCalls).Add("work_failed", 1)
 		return nil, nil, fromConnect(err)
 	}
 	c.o.Metrics.Labelled(metricCalls).Add("work_ok", 1)
-	if start.first.GetReason() != "" {
+	if started.first.GetReason() != "" {
 		end()
-		return nil, refusalOf(start.first), nil
+		return nil, refusalOf(started.first), nil
 	}
-	w := &remoteWork{instance: instance, stream: start.stream, cancel: end, decisions: make(chan stagework.Decision, 16), results: newResults()}
-	w.silent = func() { c.noteSilent(start.seen, "work", start.link, workSilent, errWorkSilent) }
-	if start.first.GetTarget() != "" {
-		w.decisions <- decisionOf(start.first)
+	w := &remoteWork{instance: instance, stream: started.stream, cancel: end, decisions: make(chan stagework.Decision, 16), results: newResults()}
+	w.onSilence = func() {
+		c.recordSilent(started.observation, "work", started.link, workSilenceTimeout, errDispatcherSilent)
+	}
+	if started.first.GetTarget() != "" {
+		w.decisions <- decisionOf(started.first)
 	}
 	go w.read()
 	return w, nil, nil
 }
 
-// startedWork is a job that was handed over, with the first answer.
+// startedWork is a job that was submitted to a dispatcher, with the first response.
 type startedWork struct {
-	stream *workStream
-	first  *peerpb.WorkDown
-	link   *link
-	seen   *observation
+	stream      *workStream
+	first       *peerpb.WorkDown
+	link        *link
+	observation *observation
 }
 
-// startWork hands the job over and waits for that long until it is taken or
-// refused.
+// startWork submits the job and waits, for at most wait, until it is accepted or refused.
 func (c *Client) startWork(ctx context.Context, l *link, job stagework.Job, wait time.Duration) (started startedWork, err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	observed, seen := observe(ctx)
+	observed, observation := observe(ctx)
 	defer func() {
 		if err == nil {
 			return
 		}
 		cause := cmp.Or(context.Cause(ctx), err)
-		c.noteUnanswered(seen, "work", l, cause)
-		if cause == errWorkSilent {
-			err = fmt.Errorf("%w for %v: %w", errWorkSilent, time.Since(seen.began), err)
+		c.recordUnanswered(observation, "work", l, cause)
+		if cause == errDispatcherSilent {
+			err = fmt.Errorf("%w for %v: %w", errDispatcherSilent, time.Since(observation.startedAt), err)
 		}
 		cancel(err)
 	}()
@@ -90,20 +92,20 @@
 		return startedWork{}, err
 	}
 	silence := time.AfterFunc(wait, func() {
-		cancel(errWorkSilent)
+		cancel(errDispatcherSilent)
 		_ = stream.CloseRequest()
 	})
 	defer silence.Stop()
-	// A send that fails says only that the stream has ended; why is what Receive
-	// returns. The caller has to know of a refused connection.
+	// A failed send shows only that the stream has ended; Receive returns the reason.
+	// The caller has to learn of a refused connection.
 	if err := stream.Send(&peerpb.WorkUp{Job: jobToProto(job, time.Now())}); err != nil && !errors.Is(err, io.EOF) {
 		return startedWork{}, err
 	}
 	first, err := stream.Receive()
-	return startedWork{stream, first, l, seen}, err
+	return startedWork{stream, first, l, observation}, err
 }
 
-// workStream is the owner's side of a job's stream.
+// workStream is the owner's side of the stream of a job.
 type workStream = connect.BidiStreamForClientSimple[peerpb.WorkUp, peerpb.WorkDown]
 
 // remoteWork is a job at another instance's dispatcher.
@@ -111,7 +113,7 @@
 	instance  string
 	stream    *workStream
 	cancel    context.CancelFunc
-	silent    func() // takes note that the stream fell silent
+	onSilence func() // called when the stream receives nothing for workSilenceTimeout
 	decisions chan stagework.Decision
 	results   *results
 
@@ -121,11 +123,12 @@
 
 var _ stagework.Assignment = (*remoteWork)(nil)
 
-// read passes decisions on until the stream ends or falls silent.
+// read delivers decisions until the stream ends or receives nothing for
+// workSilenceTimeout.
 func (w *remoteWork) read() {
-	silence := time.AfterFunc(workSilent, func() {
-		w.silent()
-		w.put(stagework.Decision{Lost: w.instance})
+	silence := time.AfterFunc(workSilenceTimeout, func() {
+		w.onSilence()
+		w.deliver(stagework.Decision{Lost: w.instance})
 	})
 	defer silence.Stop()
 	defer w.cancel()
@@ -133,25 +136,25 @@
 		m, err := w.stream.Receive()
 		if err != nil {
 			if silence.Stop() {
-				w.put(stagework.Decision{Lost: w.instance})
+				w.deliver(stagework.Decision{Lost: w.instance})
 			}
 			return
 		}
-		silence.Reset(workSilent)
-		if received%ownerBeat == 0 {
+		silence.Reset(workSilenceTimeout)
+		if received%messagesPerOwnerHeartbeat == 0 {
 			w.send(peerpb.WorkEvent_WORK_EVENT_UNSPECIFIED)
 		}
-		w.results.keep(m.GetMade(), time.Now())
+		w.results.put(m.GetMade(), time.Now())
 		if m.GetTarget() != "" || m.GetReason() != "" || m.GetElsewhere() != "" {
-			w.put(decisionOf(m))
+			w.deliver(decisionOf(m))
 		}
 	}
 }
 
-func (w *remoteWork) put(d stagework.Decision) {
+func (w *remoteWork) deliver(d stagework.Decision) {
 	select {
 	case w.decisions <- d:
-	default: // the owner has gone
+	default: // the owner no longer reads them
 	}
 }
 
@@ -177,13 +180,13 @@
 func (w *remoteWork) Broke() { w.send(peerpb.WorkEvent_WORK_EVENT_BROKE) }
 
 // Made implements stagework.Assignment.
-func (w *remoteWork) Made() []stagework.Made { return w.results.all(time.Now()) }
+func (w *remoteWork) Made() []stagework.Made { return w.results.list(time.Now()) }
 
 // Dispatcher implements stagework.Assignment.
 func (w *remoteWork) Dispatcher() string { return w.instance }
 
-// Moved implements stagework.Assignment. A dispatcher that stands still must
-// read this once it goes on, before the end.
+// Moved implements stagework.Assignment. A dispatcher that is paused has to read this
+// event, once it resumes, before the end of the stream.
 func (w *remoteWork) Moved() {
 	w.send(peerpb.WorkEvent_WORK_EVENT_MOVED)
 	w.End()
@@ -197,13 +200,13 @@
 		return
 	}
 	w.ended = true
-	// What was told before must arrive, so the stream is not reset: the other
-	// side ends it, or the timer does.
+	// Earlier events must arrive, so the stream is not reset: the other side ends
+	// it, or the timer does.
 	_ = w.stream.CloseRequest()
-	time.AfterFunc(workSilent, w.cancel)
+	time.AfterFunc(workSilenceTimeout, w.cancel)
 }
 
-// send passes an event on. One that fails shows as a lost dispatcher.
+// send sends an event. If that fails, the dispatcher is detected as lost.
 func (w *remoteWork) send(e peerpb.WorkEvent) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -212,11 +215,11 @@
 	}
 }
 
-// Work serves a job of another instance: its end is the end of the stream, or
-// the silence of its owner. Without the latter the jobs of an instance that is
-// cut off are worked on, and their results take room, until the connection is
-// found dead. If it is this instance that is cut off or stood still, the owner
-// goes on elsewhere with the results: they are not given up.
+// Work serves a job of another instance. The job ends with the stream, or when nothing
+// is received from its owner for ownerSilenceTimeout. Without that timeout, the jobs of an
+// instance that is cut off would continue, and their results would use capacity, until the
+// connection is detected as dead. If it is this instance that was cut off or paused, the
+// owner continues elsewhere with the results, so they are not released.
 func (h *service) Work(ctx context.Context, stream *connect.BidiStream[peerpb.WorkUp, peerpb.WorkDown]) error {
 	h.count("work")
 	first, err := stream.Receive()
@@ -236,7 +239,7 @@
 	defer t.End()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	silence := time.AfterFunc(ownerSilent, func() {
+	silence := time.AfterFunc(ownerSilenceTimeout, func() {
 		if h.o.CutOff != nil && h.o.CutOff() {
 			t.Moved()
 		}
@@ -251,18 +254,18 @@
 			if err != nil {
 				return
 			}
-			silence.Reset(ownerSilent)
+			silence.Reset(ownerSilenceTimeout)
 			applyEvent(t, m.GetEvent())
 		}
 	}()
 	return sendDecisions(ctx, stream, t, ended)
 }
 
-// sendDecisions passes the job's decisions on, and signs of life between them.
+// sendDecisions sends the decisions on the job, and heartbeats between them.
 func sendDecisions(ctx context.Context, stream *connect.BidiStream[peerpb.WorkUp, peerpb.WorkDown], t stagework.Assignment, ended <-chan struct{}) error {
-	beat := time.NewTicker(workBeat)
-	defer beat.Stop()
-	// A placement that is made at once is the first message: it saves one.
+	heartbeat := time.NewTicker(workHeartbeatInterval)
+	defer heartbeat.Stop()
+	// A placement that is available at once is the first message, which saves one message.
 	select {
 	case d := <-t.Decisions():
 		if done, err := sendDecision(stream, d); done || err != nil {
@@ -279,7 +282,7 @@
 			if done, err := sendDecision(stream, d); done || err != nil {
 				return err
 			}
-		case <-beat.C:
+		case <-heartbeat.C:
 			if err := stream.Send(&peerpb.WorkDown{}); err != nil {
 				return err
 			}
--- a/internal/peer/work_convert.go
+++ b/internal/peer/work_convert.go
@@ -9,7 +9,7 @@
 	"lynxhill.example/lynxhill/internal/stagework"
 )
 
-// jobToProto turns moments into what is left of time: clocks of instances
+// jobToProto converts times to the time left until them, since the clocks of instances
 // differ.
 func jobToProto(j stagework.Job, now time.Time) *peerpb.WorkJob {
 	out := &peerpb.WorkJob{
--- a/internal/peer/work_made.go
+++ b/internal/peer/work_made.go
@@ -8,22 +8,22 @@
 	"lynxhill.example/lynxhill/internal/stagework"
 )
 
-// results keeps what a dispatcher on another instance has made of a job.
+// results holds the pieces of a job that a dispatcher on another instance has produced.
 type results struct {
-	mu    sync.Mutex // guards pieces
-	kept  map[pieceID]stagework.Made
-	since map[pieceID]time.Time // when its age was zero
+	mu     sync.Mutex // guards pieces and madeAt
+	pieces map[pieceID]stagework.Made
+	madeAt map[pieceID]time.Time // when the age of the piece was zero, by this instance's clock
 }
 
-// pieceID names a piece of a job.
+// pieceID identifies a piece of a job.
 type pieceID struct{ stage, number int }
 
 func newResults() *results {
-	return &results{kept: make(map[pieceID]stagework.Made), since: make(map[pieceID]time.Time)}
+	return &results{pieces: make(map[pieceID]stagework.Made), madeAt: make(map[pieceID]time.Time)}
 }
 
-// keep takes results in. One that was made again replaces the one before.
-func (r *results) keep(made []*peerpb.WorkMade, now time.Time) {
+// put stores results. A piece that was produced again replaces the previous one.
+func (r *results) put(made []*peerpb.WorkMade, now time.Time) {
 	if len(made) == 0 {
 		return
 	}
@@ -31,17 +31,17 @@
 	defer r.mu.Unlock()
 	for _, m := range madeFromProto(made) {
 		id := pieceID{m.Stage, m.Number}
-		r.kept[id], r.since[id] = m, now.Add(-m.Age)
+		r.pieces[id], r.madeAt[id] = m, now.Add(-m.Age)
 	}
 }
 
-// all returns the results with their age now.
-func (r *results) all(now time.Time) []stagework.Made {
+// list returns the results with their current age.
+func (r *results) list(now time.Time) []stagework.Made {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	list := make([]stagework.Made, 0, len(r.kept))
-	for id, m := range r.kept {
-		m.Age = now.Sub(r.since[id])
+	list := make([]stagework.Made, 0, len(r.pieces))
+	for id, m := range r.pieces {
+		m.Age = now.Sub(r.madeAt[id])
 		list = append(list, m)
 	}
 	return list
--- a/internal/peer/work_test.go
+++ b/internal/peer/work_test.go
@@ -16,32 +16,32 @@
 	"lynxhill.example/lynxhill/internal/stagework"
 )
 
-// scripted is a job at a dispatcher: the test makes its decisions and reads
-// what it was told.
-type scripted struct {
+// scriptedJob is a job at a dispatcher for which the test makes the decisions and reads the
+// received events.
+type scriptedJob struct {
 	decisions chan stagework.Decision
-	told      chan string
+	events    chan string
 }
 
-func (s *scripted) Decisions() <-chan stagework.Decision { return s.decisions }
-func (s *scripted) Moved()                               { s.told <- "moved" }
-func (s *scripted) Made() []stagework.Made               { return nil }
-func (s *scripted) Dispatcher() string                   { return "b" }
-func (s *scripted) Begun()                               { s.told <- "begun" }
-func (s *scripted) Broke()                               { s.told <- "broke" }
-func (s *scripted) End()                                 { s.told <- "end" }
-func (s *scripted) Rejected(gone, failed bool)           { s.told <- fmt.Sprint("rejected ", gone, failed) }
+func (s *scriptedJob) Decisions() <-chan stagework.Decision { return s.decisions }
+func (s *scriptedJob) Moved()                               { s.events <- "moved" }
+func (s *scriptedJob) Made() []stagework.Made               { return nil }
+func (s *scriptedJob) Dispatcher() string                   { return "b" }
+func (s *scriptedJob) Begun()                               { s.events <- "begun" }
+func (s *scriptedJob) Broke()                               { s.events <- "broke" }
+func (s *scriptedJob) End()                                 { s.events <- "end" }
+func (s *scriptedJob) Rejected(gone, failed bool)           { s.events <- fmt.Sprint("rejected ", gone, failed) }
 
-// serveScripted serves a job; its client goes through a wire.
-func serveScripted(t *testing.T) (*scripted, *Client, *wire) {
-	s := &scripted{make(chan stagework.Decision, 8), make(chan string, 64)}
-	_, addr := serve(t, ServerOptions{Work: func(stagework.Job) (stagework.Assignment, *stagework.Refusal) { return s, nil }})
-	client, w := throughWire(t, addr)
+// startScriptedServer serves a scriptedJob; its client connects through a faultyProxy.
+func startScriptedServer(t *testing.T) (*scriptedJob, *Client, *faultyProxy) {
+	s := &scriptedJob{make(chan stagework.Decision, 8), make(chan string, 64)}
+	_, addr := startServer(t, ServerOptions{Work: func(stagework.Job) (stagework.Assignment, *stagework.Refusal) { return s, nil }})
+	client, w := newFaultyProxy(t, addr)
 	return s, client, w
 }
 
-// within receives from c; it fails the test after a time.
-func within[T any](t *testing.T, limit time.Duration, c <-chan T) (v T) {
+// receiveWithin receives from c and fails the test after the limit.
+func receiveWithin[T any](t *testing.T, limit time.Duration, c <-chan T) (v T) {
 	t.Helper()
 	select {
 	case v = <-c:
@@ -51,17 +51,17 @@
 	return v
 }
 
-func expectTold(t *testing.T, s *scripted, want ...string) {
+func expectEvents(t *testing.T, s *scriptedJob, want ...string) {
 	t.Helper()
 	for _, w := range want {
-		if got := within(t, 5*time.Second, s.told); got != w {
-			t.Fatalf("told %q instead of %q", got, w)
+		if got := receiveWithin(t, 5*time.Second, s.events); got != w {
+			t.Fatalf("event %q instead of %q", got, w)
 		}
 	}
 }
 
-// work hands a job over and requires that it is taken.
-func work(t *testing.T, client *Client) stagework.Assignment {
+// submit submits a job and requires that it is accepted.
+func submit(t *testing.T, client *Client) stagework.Assignment {
 	t.Helper()
 	a, refusal, err := client.Work(t.Context(), "b", stagework.Job{ID: "j"})
 	if err != nil || refusal != nil {
@@ -83,7 +83,7 @@
 	requireAllSet(t, reflect.ValueOf(*want.Prompt), "Job.Prompt")
 	refusal := stagework.Refusal{Reason: stagework.ReasonLate, RetryAfter: 1500 * time.Millisecond, Elsewhere: "c"}
 	jobs := make(chan stagework.Job, 1)
-	client, _ := serve(t, ServerOptions{Work: func(j stagework.Job) (stagework.Assignment, *stagework.Refusal) {
+	client, _ := startServer(t, ServerOptions{Work: func(j stagework.Job) (stagework.Assignment, *stagework.Refusal) {
 		jobs <- j
 		return nil, &refusal
 	}})
@@ -91,7 +91,7 @@
 	if err != nil || answer == nil || *answer != refusal {
 		t.Errorf("refusal %+v, %v", answer, err)
 	}
-	got := within(t, 5*time.Second, jobs)
+	got := receiveWithin(t, 5*time.Second, jobs)
 	if a, d := got.Aim.Sub(want.Aim).Abs(), got.Deadline.Sub(want.Deadline).Abs(); a > time.Second || d > time.Second {
 		t.Errorf("aim off by %v, deadline by %v", a, d)
 	}
@@ -101,64 +101,65 @@
 	}
 }
 
-func TestPlacementRejectionRefusalAndEndOfAJobElsewhere(t *testing.T) {
-	s, client, _ := serveScripted(t)
+func TestEventsOfARemoteJob(t *testing.T) {
+	s, client, _ := startScriptedServer(t)
 	first := stagework.Decision{Placement: stagework.Placement{Target: "e1", Address: "at e1", Inputs: []string{"h1", "h2"}}}
-	s.decisions <- first // is there when the job is taken
-	a := work(t, client)
-	if got := within(t, 5*time.Second, a.Decisions()); !reflect.DeepEqual(got, first) {
+	s.decisions <- first // available when the job is accepted
+	a := submit(t, client)
+	if got := receiveWithin(t, 5*time.Second, a.Decisions()); !reflect.DeepEqual(got, first) {
 		t.Errorf("placed %+v", got)
 	}
 	a.Rejected(false, false)
 	a.Rejected(true, false)
 	a.Rejected(false, true)
-	expectTold(t, s, "rejected false false", "rejected true false", "rejected false true")
+	expectEvents(t, s, "rejected false false", "rejected true false", "rejected false true")
 	for _, inputs := range [][]string{nil, {}} {
 		later := stagework.Decision{Placement: stagework.Placement{Target: "e2", Address: "at e2", Inputs: inputs}}
 		s.decisions <- later
-		if got := within(t, 5*time.Second, a.Decisions()); !reflect.DeepEqual(got, later) {
+		if got := receiveWithin(t, 5*time.Second, a.Decisions()); !reflect.DeepEqual(got, later) {
 			t.Errorf("placed %#v instead of %#v", got, later)
 		}
 	}
 	a.Begun()
 	a.Broke()
-	expectTold(t, s, "begun", "broke")
+	expectEvents(t, s, "begun", "broke")
 	a.End()
 	a.End()
-	expectTold(t, s, "end")
-	a = work(t, client)
+	expectEvents(t, s, "end")
+	a = submit(t, client)
 	later := stagework.Refusal{Reason: stagework.ReasonFailed, RetryAfter: time.Second}
 	s.decisions <- stagework.Decision{Refusal: &later}
-	if d := within(t, 5*time.Second, a.Decisions()); d.Refusal == nil || *d.Refusal != later {
+	if d := receiveWithin(t, 5*time.Second, a.Decisions()); d.Refusal == nil || *d.Refusal != later {
 		t.Errorf("decision %+v", d)
 	}
-	expectTold(t, s, "end")
+	expectEvents(t, s, "end")
 }
 
-// Symptom: an engine that fails requests gets further ones. Events: the owner
-// tells that it broke and ends the job at once. Cause: the end overtook it.
+// Guards against an engine that fails requests and gets further ones. The owner reports the
+// failure and ends the job right after that; the end must not arrive before the report.
 func TestWhatIsToldBeforeTheEndArrivesBeforeIt(t *testing.T) {
-	s, client, _ := serveScripted(t)
+	s, client, _ := startScriptedServer(t)
 	for range 30 {
-		a := work(t, client)
+		a := submit(t, client)
 		a.Broke()
 		a.End()
-		expectTold(t, s, "broke", "end")
+		expectEvents(t, s, "broke", "end")
 	}
 }
 
-// wire is a proxy before an instance that can fall silent or break.
-type wire struct {
+// faultyProxy is a proxy in front of an instance that can drop all data or close its
+// connections.
+type faultyProxy struct {
 	silent atomic.Bool
 	conns  chan net.Conn
 }
 
-func throughWire(t *testing.T, addr string) (*Client, *wire) {
+func newFaultyProxy(t *testing.T, addr string) (*Client, *faultyProxy) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &wire{conns: make(chan net.Conn, 64)}
+	w := &faultyProxy{conns: make(chan net.Conn, 64)}
 	go func() {
 		for {
 			in, err := listener.Accept()
@@ -168,17 +169,17 @@
 			if out, err := net.Dial("tcp", addr); err == nil {
 				w.conns <- in
 				w.conns <- out
-				go w.pass(in, out)
-				go w.pass(out, in)
+				go w.forward(in, out)
+				go w.forward(out, in)
 			}
 		}
 	}()
 	client := NewClient(Options{Address: func(string) (string, bool) { return listener.Addr().String(), true }})
-	t.Cleanup(func() { client.Close(); _ = listener.Close(); w.cut() })
+	t.Cleanup(func() { client.Close(); _ = listener.Close(); w.closeAll() })
 	return client, w
 }
 
-func (w *wire) pass(from, to net.Conn) {
+func (w *faultyProxy) forward(from, to net.Conn) {
 	for buffer := make([]byte, 4096); ; {
 		n, err := from.Read(buffer)
 		if err != nil {
@@ -190,86 +191,84 @@
 	}
 }
 
-func (w *wire) cut() {
+func (w *faultyProxy) closeAll() {
 	for len(w.conns) > 0 {
 		_ = (<-w.conns).Close()
 	}
 }
 
-// Symptom: requests wait until their callers have gone. Events: the instance
-// that schedules falls silent without closing its connections. Cause: its word
-// was waited for without a limit.
+// Guards against requests that wait until their callers have given up: the dispatcher
+// becomes silent without closing its connections, and its decision is awaited without a
+// timeout.
 func TestASilentDispatcherIsLost(t *testing.T) {
-	_, client, w := serveScripted(t)
-	a := work(t, client)
-	select { // signs of life keep the job
+	_, client, w := startScriptedServer(t)
+	a := submit(t, client)
+	select { // heartbeats keep the job
 	case d := <-a.Decisions():
-		t.Fatalf("decision %+v of a dispatcher that lives", d)
-	case <-time.After(workSilent + 2*workBeat):
+		t.Fatalf("decision %+v of a live dispatcher", d)
+	case <-time.After(workSilenceTimeout + 2*workHeartbeatInterval):
 	}
 	w.silent.Store(true)
 	began := time.Now()
-	if d := within(t, 5*time.Second, a.Decisions()); d.Lost == "" || time.Since(began) > 1500*time.Millisecond {
+	if d := receiveWithin(t, 5*time.Second, a.Decisions()); d.Lost == "" || time.Since(began) > 1500*time.Millisecond {
 		t.Errorf("decision %+v after %v", d, time.Since(began))
 	}
 	began = time.Now()
 	if _, _, err := client.Work(context.Background(), "b", stagework.Job{}); err == nil || time.Since(began) > time.Second {
-		t.Errorf("a silent one took a job: %v after %v", err, time.Since(began))
+		t.Errorf("a silent dispatcher accepted a job: %v after %v", err, time.Since(began))
 	}
 }
 
 func TestADispatcherIsLostWithItsConnection(t *testing.T) {
-	s, client, w := serveScripted(t)
-	a := work(t, client)
-	w.cut()
+	s, client, w := startScriptedServer(t)
+	a := submit(t, client)
+	w.closeAll()
 	began := time.Now()
-	if d := within(t, 5*time.Second, a.Decisions()); d.Lost == "" || time.Since(began) > workSilent/2 {
+	if d := receiveWithin(t, 5*time.Second, a.Decisions()); d.Lost == "" || time.Since(began) > workSilenceTimeout/2 {
 		t.Errorf("decision %+v after %v", d, time.Since(began))
 	}
-	expectTold(t, s, "end") // there the job's owner is gone
+	expectEvents(t, s, "end") // at the dispatcher, the job's owner is gone
 	a.Begun()
 	a.End()
 }
 
-// Symptom: pieces are refused for want of room for up to 18 s after an instance
-// was cut off. Events: an instance that has handed jobs over falls silent
-// without closing its connections. Cause: its jobs stayed at the dispatcher,
-// their pieces were made and their results lay at their makers, until the
-// connection was found dead.
+// Guards against pieces that are refused for lack of capacity for up to 18 s after an
+// instance was cut off. The instance had submitted jobs and became silent without closing
+// its connections. Its jobs stayed at the dispatcher: their pieces were executed, and the
+// results stayed on the targets until the connection was detected as dead.
 //
-// Where it is the dispatcher that is cut off or stood still, the results must
-// not be given up: the owner goes on with them elsewhere.
+// If it is the dispatcher that is cut off or was paused, the results must not be released:
+// the owner continues with them elsewhere.
 func TestTheJobsOfASilentOwnerEnd(t *testing.T) {
 	for _, cutOff := range []bool{false, true} {
-		s := &scripted{make(chan stagework.Decision, 8), make(chan string, 64)}
-		_, addr := serve(t, ServerOptions{
+		s := &scriptedJob{make(chan stagework.Decision, 8), make(chan string, 64)}
+		_, addr := startServer(t, ServerOptions{
 			Work:   func(stagework.Job) (stagework.Assignment, *stagework.Refusal) { return s, nil },
 			CutOff: func() bool { return cutOff },
 		})
-		client, w := throughWire(t, addr)
-		work(t, client)
-		select { // an owner that lives keeps its job however long it waits
-		case told := <-s.told:
-			t.Fatalf("told %q by an owner that lives", told)
-		case <-time.After(ownerSilent + workBeat):
+		client, w := newFaultyProxy(t, addr)
+		submit(t, client)
+		select { // a live owner keeps its job however long it waits
+		case event := <-s.events:
+			t.Fatalf("event %q of a live owner", event)
+		case <-time.After(ownerSilenceTimeout + workHeartbeatInterval):
 		}
 		w.silent.Store(true)
 		began := time.Now()
 		if cutOff {
-			expectTold(t, s, "moved")
+			expectEvents(t, s, "moved")
 		}
-		expectTold(t, s, "end")
-		if took := time.Since(began); took > ownerSilent+workBeat {
+		expectEvents(t, s, "end")
+		if took := time.Since(began); took > ownerSilenceTimeout+workHeartbeatInterval {
 			t.Errorf("the job ended after %v", took)
 		}
 	}
 }
 
-// Symptom: after a common start an instance leaves out the dispatcher for two
-// seconds that is up 20 ms after it (dispatcher_lost with "write envelope: EOF").
-// Events: the connection to it is refused.
-// Cause: the error of the send was returned, which says only that the stream has
-// ended, and not that of the connection.
+// Guards against an instance that, after a common start, ignores for two seconds a dispatcher
+// that is up 20 ms later (dispatcher_lost with "write envelope: EOF"). The connection to it
+// is refused, and the error of the send, which shows only that the stream has ended, was
+// returned instead of that of the connection.
 func TestARefusedConnectionIsToldToTheOwner(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -280,9 +279,9 @@
 		t.Fatal(err)
 	}
 	client := NewClient(Options{Address: func(string) (string, bool) { return address, true }})
-	for range 20 { // whether the send or the connection fails first differs
+	for range 20 { // whether the send or the connection fails first varies
 		if _, _, err := client.Work(t.Context(), "b", stagework.Job{ID: "j"}); !errors.Is(err, syscall.ECONNREFUSED) {
-			t.Fatalf("the owner is told %v, want that the connection was refused", err)
+			t.Fatalf("the owner gets the error %v, want a refused connection", err)
 		}
 	}
 }
