--- a/internal/membership/dead_test.go
+++ b/internal/membership/dead_test.go
@@ -21,14 +21,14 @@
 // crashAndUnlist crashes an instance whose list entry then expires.
 func (f *fleet) crashAndUnlist(i int) {
 	f.crash(i)
-	f.list.remove(f.nodes[i].id)
+	f.list.remove(f.instances[i].id)
 }
 
 // countKnowing returns how many of the observers have a row of the instance.
 func (f *fleet) countKnowing(observers []int, i int) int {
 	count := 0
 	for _, o := range observers {
-		if _, ok := f.nodes[o].board.Members.Get(f.nodes[i].id); ok {
+		if _, ok := f.instances[o].board.Members.Get(f.instances[i].id); ok {
 			count++
 		}
 	}
@@ -36,8 +36,8 @@
 }
 
 func (f *fleet) add() int {
-	i := len(f.nodes)
-	f.nodes = append(f.nodes, &node{id: fmt.Sprintf("lynxhill-%03d", i), addr: fmt.Sprintf("10.0.%d.%d:7300", i/250, i%250)})
+	i := len(f.instances)
+	f.instances = append(f.instances, &instance{id: fmt.Sprintf("lynxhill-%03d", i), addr: fmt.Sprintf("10.0.%d.%d:7300", i/250, i%250)})
 	f.start(i)
 	return i
 }
@@ -48,7 +48,7 @@
 // not longer because each new instance learns of them later.
 func TestDeadMembersAreKeptForNinetyMinutes(t *testing.T) {
 	withFleet(t, 8, membership.Options{}, func(f *fleet) {
-		f.nodes[6].manager.Leave(context.Background())
+		f.instances[6].manager.Leave(context.Background())
 		time.Sleep(2 * time.Second)
 		f.crashAndUnlist(6)
 		f.crashAndUnlist(7)
@@ -64,7 +64,7 @@
 		if n := f.countKnowing(append(upTo(6), 8), 7); n != 7 {
 			f.t.Errorf("%d of 7 have the dead member after 86 min", n)
 		}
-		if m, _ := f.nodes[8].board.Members.Get(f.nodes[7].id); m.Fleet != 7 || m.State != board.MemberDead {
+		if m, _ := f.instances[8].board.Members.Get(f.instances[7].id); m.Fleet != 7 || m.State != board.MemberDead {
 			f.t.Errorf("the new instance has %+v", m)
 		}
 		time.Sleep(7 * time.Minute)
@@ -79,12 +79,12 @@
 		f.crash(3)
 		time.Sleep(3 * time.Minute)
 		f.list.mu.Lock()
-		entry := f.list.entries[f.nodes[3].id]
+		entry := f.list.entries[f.instances[3].id]
 		entry.State = platformapi.StateLeaving
 		f.list.entries[entry.ID] = entry
 		f.list.mu.Unlock()
 		time.Sleep(time.Minute)
-		for _, n := range f.nodes[:3] {
+		for _, n := range f.instances[:3] {
 			if m, _ := n.board.Members.Get(entry.ID); !m.Left {
 				f.t.Errorf("%s does not regard it as having left: %+v", n.id, m)
 			}
@@ -113,7 +113,7 @@
 					time.Sleep(4 * time.Minute)
 				}
 				_, after := f.total()
-				last := f.nodes[len(f.nodes)-1].board.Members.Snapshot()
+				last := f.instances[len(f.instances)-1].board.Members.Snapshot()
 				perSecond := float64(after-before) / (span * 4 * 60) / n
 				t.Logf("kept for %v: %d dead rows at the newest instance, %.0f B/s per instance", keep, len(last)-n, perSecond)
 				if len(last)-n > int(keep/(4*time.Minute))+2 {
--- a/internal/membership/failure_test.go
+++ b/internal/membership/failure_test.go
@@ -31,10 +31,10 @@
 
 func TestLeavingIsKnownAtOnce(t *testing.T) {
 	withFleet(t, 8, membership.Options{}, func(f *fleet) {
-		f.nodes[7].manager.Leave(context.Background())
+		f.instances[7].manager.Leave(context.Background())
 		took := f.until(5*time.Second, "all know that it leaves", func() bool {
-			for _, n := range f.nodes[:7] {
-				if m, _ := n.board.Members.Get(f.nodes[7].id); m.State != board.MemberLeaving {
+			for _, n := range f.instances[:7] {
+				if m, _ := n.board.Members.Get(f.instances[7].id); m.State != board.MemberLeaving {
 					return false
 				}
 			}
@@ -49,7 +49,7 @@
 // and the failure of a single path is mistaken for a failure of the instance.
 func TestOneWayLossBetweenTwoKeepsBothAlive(t *testing.T) {
 	withFleet(t, 8, membership.Options{}, func(f *fleet) {
-		f.net.Block(f.nodes[0].addr, f.nodes[1].addr)
+		f.net.Block(f.instances[0].addr, f.instances[1].addr)
 		for range 600 {
 			time.Sleep(100 * time.Millisecond)
 			if !f.agree(upTo(8)) {
@@ -108,16 +108,16 @@
 
 func TestAllRestartedAtOnceFindEachOther(t *testing.T) {
 	withFleet(t, 8, membership.Options{}, func(f *fleet) {
-		for i := range f.nodes {
+		for i := range f.instances {
 			f.crash(i)
 		}
 		time.Sleep(3 * time.Second)
-		for i := range f.nodes {
+		for i := range f.instances {
 			f.start(i)
 		}
 		var m board.Member
 		f.until(15*time.Second, "all see all", func() bool {
-			m, _ = f.nodes[0].board.Members.Get(f.nodes[1].id)
+			m, _ = f.instances[0].board.Members.Get(f.instances[1].id)
 			return f.agree(upTo(8)) && m.Incarnation > 0
 		})
 		if want := uint64(f.clock.Now().Add(-20 * time.Second).UnixMilli()); m.Incarnation < want {
@@ -128,12 +128,12 @@
 
 func TestPausedInstanceComesBack(t *testing.T) {
 	withFleet(t, 8, membership.Options{}, func(f *fleet) {
-		f.net.Pause(f.nodes[5].addr)
+		f.net.Pause(f.instances[5].addr)
 		f.until(20*time.Second, "the others consider the paused instance dead", func() bool {
 			return f.alive(0, []int{5}) == 0 && f.alive(7, []int{5}) == 0
 		})
 		time.Sleep(10 * time.Minute)
-		f.net.Resume(f.nodes[5].addr)
+		f.net.Resume(f.instances[5].addr)
 		took := f.until(time.Minute, "all see all", func() bool { return f.agree(upTo(8)) })
 		t.Logf("back after %v", took)
 	})
--- a/internal/membership/fleet_test.go
+++ b/internal/membership/fleet_test.go
@@ -51,16 +51,16 @@
 
 // fleet is a group of instances in one synctest bubble.
 type fleet struct {
-	t       testing.TB
-	net     *mempeer.Network
-	list    *list
-	nodes   []*node
-	options membership.Options // of all instances
-	wg      sync.WaitGroup
-	clock   quartz.Clock
+	t         testing.TB
+	net       *mempeer.Network
+	list      *list
+	instances []*instance
+	options   membership.Options // of all instances
+	wg        sync.WaitGroup
+	clock     quartz.Clock
 }
 
-type node struct {
+type instance struct {
 	id, addr string
 	board    *board.Board
 	manager  *membership.Manager
@@ -80,7 +80,7 @@
 	for i := range n {
 		f.addStopped(i)
 	}
-	for i := range f.nodes {
+	for i := range f.instances {
 		f.start(i)
 	}
 	return f
@@ -89,11 +89,11 @@
 // addStopped adds the i-th instance without starting it.
 func (f *fleet) addStopped(i int) {
 	self := virtualtest.Member(i)
-	f.nodes = append(f.nodes, &node{id: self.ID, addr: self.PeerAddr, stop: func() {}})
+	f.instances = append(f.instances, &instance{id: self.ID, addr: self.PeerAddr, stop: func() {}})
 }
 
 func (f *fleet) start(i int) {
-	n := f.nodes[i]
+	n := f.instances[i]
 	n.board = board.New()
 	o := f.options
 	o.Self = virtualtest.Member(i)
@@ -109,12 +109,12 @@
 
 // crash removes an instance without an announcement.
 func (f *fleet) crash(i int) {
-	f.net.Drop(f.nodes[i].addr)
-	f.nodes[i].stop()
+	f.net.Drop(f.instances[i].addr)
+	f.instances[i].stop()
 }
 
 func (f *fleet) stop() {
-	for _, n := range f.nodes {
+	for _, n := range f.instances {
 		n.stop()
 	}
 	f.wg.Wait()
@@ -124,7 +124,7 @@
 func (f *fleet) alive(observer int, of []int) int {
 	count := 0
 	for _, i := range of {
-		m, ok := f.nodes[observer].board.Members.Get(f.nodes[i].id)
+		m, ok := f.instances[observer].board.Members.Get(f.instances[i].id)
 		if ok && m.State == board.MemberAlive {
 			count++
 		}
@@ -139,7 +139,7 @@
 			return false
 		}
 		live := 0
-		for _, m := range f.nodes[i].board.Members.Snapshot() {
+		for _, m := range f.instances[i].board.Members.Snapshot() {
 			if m.State == board.MemberAlive {
 				live++
 			}
@@ -170,7 +170,7 @@
 func (f *fleet) addrs(of []int) []string {
 	var addrs []string
 	for _, i := range of {
-		addrs = append(addrs, f.nodes[i].addr)
+		addrs = append(addrs, f.instances[i].addr)
 	}
 	return addrs
 }
@@ -200,7 +200,7 @@
 			f.until(20*time.Second, "all see all", func() bool { return f.agree(upTo(n)) })
 			allInformed := func() bool {
 				for i := range n {
-					m, _ := f.nodes[i].board.Members.Get(f.nodes[1].id)
+					m, _ := f.instances[i].board.Members.Get(f.instances[1].id)
 					if m.StoreLost != lost.Load() {
 						return false
 					}
@@ -209,7 +209,7 @@
 			}
 			for range 3 {
 				lost.Store(!lost.Load())
-				f.nodes[1].manager.Hurry()
+				f.instances[1].manager.Hurry()
 				f.until(3*time.Second, "all are informed", allInformed)
 			}
 		})
--- a/internal/membership/list_test.go
+++ b/internal/membership/list_test.go
@@ -31,7 +31,7 @@
 		f.list.setDown(true)
 		for i := range n {
 			f.addStopped(i)
-			seed := f.nodes[i/(n/2)*(n/2)].addr
+			seed := f.instances[i/(n/2)*(n/2)].addr
 			f.options.Seeds = func() []string { return []string{seed} }
 			f.start(i)
 		}
@@ -53,7 +53,7 @@
 		defer f.stop()
 		f.until(10*time.Second, "all see all", func() bool { return f.agree(upTo(3)) })
 		time.Sleep(5 * time.Minute)
-		lost := f.nodes[1].id
+		lost := f.instances[1].id
 		f.list.change(func(entries map[string]store.Instance) { delete(entries, lost) })
 		f.until(listEvery*3/2+5*time.Second, "the entry is back", func() bool {
 			found := false
@@ -76,11 +76,11 @@
 		f.start(0)
 		defer f.stop()
 		time.Sleep(500 * time.Millisecond)
-		if m, ok := f.nodes[0].board.Members.Get("gone"); !ok || m.State != board.MemberAlive || m.PeerAddr == "" {
+		if m, ok := f.instances[0].board.Members.Get("gone"); !ok || m.State != board.MemberAlive || m.PeerAddr == "" {
 			t.Errorf("half a second after the start: %+v, %v", m, ok)
 		}
 		time.Sleep(6 * time.Second)
-		if m, ok := f.nodes[0].board.Members.Get("gone"); ok {
+		if m, ok := f.instances[0].board.Members.Get("gone"); ok {
 			t.Errorf("still present after 6 s: %+v", m)
 		}
 	})
@@ -100,7 +100,7 @@
 		f.until(30*time.Second, "both are considered dead", func() bool { return f.agree(live) })
 		f.start(7)
 		time.Sleep(3 * time.Second)
-		if m, _ := f.nodes[7].board.Members.Get(f.nodes[3].id); m.State == board.MemberAlive {
+		if m, _ := f.instances[7].board.Members.Get(f.instances[3].id); m.State == board.MemberAlive {
 			t.Errorf("the started instance considers a dead one alive: %+v", m)
 		}
 	})
--- a/internal/membership/measure_test.go
+++ b/internal/membership/measure_test.go
@@ -14,7 +14,7 @@
 // total sums up the traffic of all instances; each digest counts at its sender and at
 // its receiver.
 func (f *fleet) total() (digests, bytes int) {
-	for _, n := range f.nodes {
+	for _, n := range f.instances {
 		t := f.net.Traffic(n.addr)
 		digests += t.Digests
 		bytes += t.Bytes
@@ -40,8 +40,8 @@
 	digests, bytes := f.total()
 	const span = 20
 	for s := range span {
-		for i, node := range f.nodes {
-			node.manager.SetLoad(float64((s*7+i*3)%10)/10, s)
+		for i, instance := range f.instances {
+			instance.manager.SetLoad(float64((s*7+i*3)%10)/10, s)
 		}
 		time.Sleep(time.Second)
 	}
@@ -68,7 +68,7 @@
 }
 
 func measureHealing(t *testing.T, f *fleet, healing membership.Healing) {
-	n := len(f.nodes)
+	n := len(f.instances)
 	f.list.setDown(true)
 	f.split([][]int{span(0, n/2), span(n/2, n)})
 	time.Sleep(10 * time.Minute)
@@ -76,7 +76,7 @@
 	digests, bytes := f.total()
 	falselyDead := 0
 	took := f.until(2*time.Minute, "all see all again", func() bool {
-		for i := range f.nodes {
+		for i := range f.instances {
 			half := span(i/(n/2)*(n/2), i/(n/2)*(n/2)+n/2)
 			falselyDead += f.dead(i, half)
 		}
@@ -94,7 +94,7 @@
 func (f *fleet) dead(observer int, of []int) int {
 	count := 0
 	for _, i := range of {
-		if m, ok := f.nodes[observer].board.Members.Get(f.nodes[i].id); ok && m.State == board.MemberDead {
+		if m, ok := f.instances[observer].board.Members.Get(f.instances[i].id); ok && m.State == board.MemberDead {
 			count++
 		}
 	}
--- a/internal/peer/mempeer/mempeer.go
+++ b/internal/peer/mempeer/mempeer.go
@@ -16,7 +16,7 @@
 // ErrUnreachable is the error of a call without a reply.
 var ErrUnreachable = errors.New("mempeer: unreachable")
 
-// Node is the server side of one instance.
+// Node holds the functions that serve the calls to one instance.
 type Node struct {
 	Handle func(ctx context.Context, d gossip.Digest) gossip.Digest
 	Since  func(prefix string, after uint64) (objects []store.Object, mark uint64, more bool)
@@ -27,11 +27,11 @@
 	delay time.Duration // one way
 	sleep func(ctx context.Context, d time.Duration) bool
 
-	mu      sync.Mutex // guards the following fields
-	nodes   map[string]Node
-	blocked map[link]bool
-	paused  map[string]chan struct{}
-	traffic map[string]Traffic
+	mu        sync.Mutex // guards the following fields
+	instances map[string]Node
+	blocked   map[link]bool
+	paused    map[string]chan struct{}
+	traffic   map[string]Traffic
 }
 
 type link struct{ from, to string }
@@ -46,27 +46,27 @@
 // false if ctx was cancelled first.
 func New(delay time.Duration, sleep func(ctx context.Context, d time.Duration) bool) *Network {
 	return &Network{
-		delay:   delay,
-		sleep:   sleep,
-		nodes:   make(map[string]Node),
-		blocked: make(map[link]bool),
-		paused:  make(map[string]chan struct{}),
-		traffic: make(map[string]Traffic),
+		delay:     delay,
+		sleep:     sleep,
+		instances: make(map[string]Node),
+		blocked:   make(map[link]bool),
+		paused:    make(map[string]chan struct{}),
+		traffic:   make(map[string]Traffic),
 	}
 }
 
 // Join attaches an instance to an address.
-func (n *Network) Join(addr string, node Node) {
+func (n *Network) Join(addr string, instance Node) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.nodes[addr] = node
+	n.instances[addr] = instance
 }
 
 // Drop removes the instance at the address, as a crash does.
 func (n *Network) Drop(addr string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	delete(n.nodes, addr)
+	delete(n.instances, addr)
 }
 
 // Block drops all messages from one address to another, in this direction only.
@@ -165,11 +165,11 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	node, ok := n.nodes[to]
+	receiver, ok := n.instances[to]
 	if !ok {
 		return Node{}, ErrUnreachable
 	}
-	return node, nil
+	return receiver, nil
 }
 
 // Client is the client of one instance.
@@ -188,11 +188,11 @@
 // Exchange implements membership.Transport.
 func (c *Client) Exchange(ctx context.Context, to string, d gossip.Digest) (gossip.Digest, error) {
 	c.network.count(c.addr, to, d)
-	node, err := c.network.deliver(ctx, c.addr, to)
+	receiver, err := c.network.deliver(ctx, c.addr, to)
 	if err != nil {
 		return gossip.Digest{}, err
 	}
-	reply := node.Handle(ctx, d)
+	reply := receiver.Handle(ctx, d)
 	c.network.count(to, c.addr, reply)
 	if _, err := c.network.deliver(ctx, to, c.addr); err != nil {
 		return gossip.Digest{}, err
@@ -216,11 +216,11 @@
 	if !ok {
 		return nil, 0, false, ErrUnreachable
 	}
-	node, err := c.network.deliver(ctx, c.addr, to)
+	receiver, err := c.network.deliver(ctx, c.addr, to)
 	if err != nil {
 		return nil, 0, false, err
 	}
-	objects, mark, more := node.Since(prefix, after)
+	objects, mark, more := receiver.Since(prefix, after)
 	if _, err := c.network.deliver(ctx, to, c.addr); err != nil {
 		return nil, 0, false, err
 	}
