--- a/internal/stagecall/memtarget/fault.go
+++ b/internal/stagecall/memtarget/fault.go
@@ -44,6 +44,7 @@
 	"truncated", "no_end", "straggle", "lost_reply", "fail", "die",
 }
 
+// String returns the fault's name.
 func (f Fault) String() string {
 	if f >= 0 && f < faultCount {
 		return faultNames[f]
--- a/internal/stagework/engine_choice.go
+++ b/internal/stagework/engine_choice.go
@@ -26,8 +26,7 @@
 	// costs, 84 was best: with 28, twice as many bytes cross zones; with 140, a
 	// quarter fewer do, and more answers are late.
 	crossZoneWeight = 84.0
-	// zoneWeight is the cost of an engine in another zone than the instance
-	// that the caller is connected to.
+	// zoneWeight is the cost of an engine in another zone than the job's owner.
 	zoneWeight = 2.0
 	// lateWeight is the cost of a millisecond beyond the on-time limit.
 	lateWeight = 20.0
--- a/internal/stagework/job.go
+++ b/internal/stagework/job.go
@@ -14,7 +14,7 @@
 	Key          string // identifies the inputs of the first stages
 	Organisation string
 	Route        string    // route of the request; scarce capacity is shared fairly among routes
-	Owner        string    // instance that received the request and sends it to the engine
+	Owner        string    // instance that handles the request and sends it to the engine
 	Priority     int       // 0 is the most urgent
 	Aim          time.Time // latest time for the first event to be on time
 	Deadline     time.Time // time at which the caller gives up
