--- a/internal/exchange/answer.go
+++ b/internal/exchange/answer.go
@@ -18,38 +18,38 @@
 )
 
 const (
-	maxForeign      = 3       // answers to others that are read over
-	maxForeignBytes = 1 << 20 // body of one such answer
+	maxForeign      = 3       // responses to other attempts that are skipped on one connection
+	maxForeignBytes = 1 << 20 // size of the body of one such response
 )
 
 var (
-	errForeign    = errors.New("the target answers another attempt")
-	errUnframed   = errors.New("the target answers another attempt and the end of that answer can't be told")
-	errSwitched   = errors.New("the target switched the protocol")
-	errBadStatus  = errors.New("the answer's status is below 100")
-	errUnasked    = errors.New("the answer was complete before a byte of the request was sent")
-	errBodyClosed = errors.New("read after Close of the answer's body")
+	errForeign     = errors.New("the response belongs to another attempt")
+	errUnframed    = errors.New("the response belongs to another attempt and its end can't be determined")
+	errSwitched    = errors.New("the target switched protocols")
+	errBadStatus   = errors.New("the response status is below 100")
+	errNothingSent = errors.New("the response was complete before any byte of the request was sent")
+	errBodyClosed  = errors.New("read after Close of the response body")
 )
 
-// exchange is one request on one connection, from its first byte to the end
-// of its answer.
+// exchange is one request on one connection, from its first byte to the end of
+// its response.
 type exchange struct {
 	pool    *Pool
 	conn    *conn
 	ctx     context.Context
 	request Request
-	stop    func() bool // detaches conn from ctx; false: ctx closes conn
-	foreign bool        // an answer to another attempt came
-	ended   atomic.Bool // conn was given back or closed
-	silence *silence
+	stop    func() bool // detaches conn from ctx; false: ctx has ended and closes conn
+	foreign bool        // a response to another attempt was read
+	ended   atomic.Bool // conn was returned to the pool or closed
+	acks    *ackMonitor
 
-	written  chan struct{} // closed when the writing has ended
-	sent     int64         // bytes written; after written
-	writeErr error         // nil: the whole request; after written
+	written  chan struct{} // closed once write has returned
+	sent     int64         // number of bytes written; valid after written
+	writeErr error         // nil = the whole request was written; valid after written
 }
 
-// begin starts to write the request. Its goroutine ends with the exchange:
-// whoever ends that closes the connection, or has seen the writing end.
+// begin starts to write the request in a goroutine. The goroutine does not outlive
+// the exchange: the end of the exchange closes the connection or waits for written.
 func (p *Pool) begin(ctx context.Context, c *conn, r Request, head []byte) *exchange {
 	x := &exchange{pool: p, conn: c, ctx: ctx, request: r, written: make(chan struct{})}
 	if r.Method == http.MethodHead {
@@ -57,13 +57,13 @@
 	}
 	x.stop = context.AfterFunc(ctx, func() { c.Close() })
 	go x.write(head)
-	x.silence = x.watchSilence()
+	x.acks = x.monitorAcks()
 	return x
 }
 
-// write writes the request, beside the reading of the answer: a target may
-// answer, and stop reading, before it has taken a long body. Waiting for the
-// end of the write first would then wait for ever.
+// write writes the request while the response is read: a target may respond, and
+// stop reading, before it has read a long body. Waiting for the end of the write
+// first would then block forever.
 func (x *exchange) write(head []byte) {
 	defer close(x.written)
 	buffers := net.Buffers{head}
@@ -73,11 +73,11 @@
 	x.sent, x.writeErr = buffers.WriteTo(x.conn.Conn)
 }
 
-// answer returns the answer to this request. A target that answered an
-// earlier attempt twice, or late, has that answer still on the connection;
-// it is known by its ID, read over and counted.
+// answer returns the response to this request. If the target responded to an earlier
+// attempt twice, or late, that response is still on the connection; it is recognised
+// by its ID, skipped and counted.
 func (x *exchange) answer() (*http.Response, error) {
-	defer x.silence.stop()
+	defer x.acks.stop()
 	for n := 0; ; n++ {
 		resp, err := x.readHead()
 		if err != nil {
@@ -92,14 +92,14 @@
 		if n == maxForeign {
 			return nil, errForeign
 		}
-		if err := x.readOver(resp); err != nil {
+		if err := x.skipForeign(resp); err != nil {
 			return nil, err
 		}
 	}
 }
 
-// readHead reads heads until one that isn't 1xx. 101 is refused, since what
-// follows it isn't HTTP.
+// readHead reads response heads until one that isn't 1xx. 101 is an error, since
+// the bytes that follow it aren't HTTP.
 func (x *exchange) readHead() (*http.Response, error) {
 	x.conn.headLeft = int64(x.pool.opts.MaxHeaderBytes)
 	defer func() { x.conn.headLeft = -1 }()
@@ -118,11 +118,12 @@
 	}
 }
 
-// readOver reads an answer to another attempt to its end. It refuses where
-// that end isn't certain: a wrong one would make bytes of that answer's body
-// the head of ours. So it is after HEAD, whose answers declare a length but
-// have no body; it isn't said which method the other attempt had.
-func (x *exchange) readOver(resp *http.Response) error {
+// skipForeign reads a response to another attempt to its end. It fails if that end
+// isn't certain: with a wrong end, bytes of that response's body would be parsed as
+// the head of ours. The end is uncertain after a HEAD request on the connection,
+// since responses to HEAD declare a length but have no body, and the method of the
+// other attempt isn't known.
+func (x *exchange) skipForeign(resp *http.Response) error {
 	if x.conn.usedHead || !delimited(resp) {
 		return errUnframed
 	}
@@ -131,13 +132,13 @@
 	case io.EOF:
 		return nil
 	case nil:
-		return errForeign // longer than we read for somebody else
+		return errForeign // exceeds maxForeignBytes
 	}
 	return err
 }
 
-// delimited reports whether the answer's end is told by the answer itself
-// and not by the end of the connection.
+// delimited reports whether the response itself determines its end, rather than the
+// end of the connection.
 func delimited(resp *http.Response) bool {
 	return resp.Body == http.NoBody || resp.ContentLength >= 0 || slices.Contains(resp.TransferEncoding, "chunked")
 }
@@ -146,8 +147,8 @@
 func (x *exchange) fail(err error) *Error {
 	x.end(0)
 	<-x.written
-	if x.silence.met() {
-		x.pool.CloseIdle(x.conn.address) // the machine is as silent on these
+	if x.acks.expired() {
+		x.pool.CloseIdle(x.conn.address) // the host does not acknowledge data on these either
 	}
 	if resetByTarget(x.writeErr) && !errors.Is(err, x.writeErr) {
 		err = fmt.Errorf("%w (writing the request: %w)", err, x.writeErr)
@@ -155,19 +156,19 @@
 	return &Error{Sent: x.sent > 0, Err: x.explain(err)}
 }
 
-// explain puts the context's error in place of that of the connection which
-// it closed.
+// explain replaces the error of a connection that this side closed by the reason
+// for closing it: the end of the context, or ErrUnacknowledged.
 func (x *exchange) explain(err error) error {
 	if x.ctx.Err() != nil {
 		return contextError(x.ctx)
 	}
-	if x.silence.met() {
-		return ErrSilent
+	if x.acks.expired() {
+		return ErrUnacknowledged
 	}
 	return err
 }
 
-// contextError returns the error of a context that ended, with its cause.
+// contextError returns the error of a context that ended, including its cause.
 func contextError(ctx context.Context) error {
 	if cause := context.Cause(ctx); cause != ctx.Err() {
 		return fmt.Errorf("%w: %w", ctx.Err(), cause)
@@ -175,9 +176,10 @@
 	return ctx.Err()
 }
 
-// end gives the connection back, to be kept for the given time, or closes it
-// if that is 0. Only the first call does anything. A connection that ctx is
-// about to close isn't kept: it would be closed under the next request.
+// end returns the connection to the pool, where it may stay idle for the given time,
+// or closes it if that is 0. Only the first call has an effect. A connection that
+// ctx is about to close isn't returned to the pool: it would be closed during the
+// next request.
 func (x *exchange) end(keep time.Duration) {
 	if !x.ended.CompareAndSwap(false, true) {
 		return
@@ -190,40 +192,40 @@
 	<-x.written
 }
 
-// finish ends an exchange whose answer was read to its end and returns
-// io.EOF, or the reason why that end isn't one.
+// finish ends an exchange whose response was read to its end. It returns io.EOF, or
+// the reason why the response isn't complete.
 func (x *exchange) finish(resp *http.Response) error {
 	x.end(x.keepTime(resp))
 	<-x.written
 	if x.sent == 0 {
-		return errUnasked
+		return errNothingSent
 	}
-	// A reset is reported once by the kernel, to the reader or to the writer
-	// of the connection; the other one sees a clean end. So an answer that
-	// ends with the connection is complete only if no write met the reset.
+	// The kernel reports a reset only once, either to the reader or to the writer
+	// of the connection; the other one sees a regular end. So a response that ends
+	// with the connection is complete only if no write failed with the reset.
 	if !delimited(resp) && resetByTarget(x.writeErr) {
 		return fmt.Errorf("%w: %w", io.ErrUnexpectedEOF, x.writeErr)
 	}
 	return io.EOF
 }
 
-// keepTime returns how long the connection may be kept after the answer, 0
+// keepTime returns how long the connection may stay idle after the response, 0
 // unless it is certain that the next bytes on it belong to the next request.
 func (x *exchange) keepTime(resp *http.Response) time.Duration {
 	if resp.Close || !resp.ProtoAtLeast(1, 1) || x.foreign ||
 		wantsClose(x.request.Header) ||
-		x.conn.br.Buffered() > 0 || !x.settle() {
+		x.conn.br.Buffered() > 0 || !x.stopWrite() {
 		return 0
 	}
 	return idleTime(resp.Header, x.pool.opts.IdleTimeout)
 }
 
-// settle stops the writing of a request whose answer is complete and reports
-// whether it was written whole. The write deadline ends a write that still
-// waits, so that the target gets no more of it, and lets one that the kernel
-// has taken whole succeed though its goroutine hasn't run again yet: without
-// it a connection would be closed by chance when the machine is busy.
-func (x *exchange) settle() bool {
+// stopWrite stops the writing of a request whose response is complete and reports
+// whether the request was written completely. The write deadline ends a write that
+// still blocks, so that the target gets no more of the request. A write that the
+// kernel has accepted completely still succeeds even if its goroutine has not run
+// since; otherwise connections would be closed at random while the CPU is busy.
+func (x *exchange) stopWrite() bool {
 	select {
 	case <-x.written:
 		return x.writeErr == nil
@@ -234,14 +236,14 @@
 	return x.writeErr == nil && x.conn.SetWriteDeadline(time.Time{}) == nil
 }
 
-// resetByTarget reports whether a write failed otherwise than by our own
-// closing or stopping.
+// resetByTarget reports whether a write failed for another reason than that this
+// side closed the connection or stopped the write.
 func resetByTarget(err error) bool {
 	return err != nil && !errors.Is(err, net.ErrClosed) &&
 		!errors.Is(err, io.ErrClosedPipe) && !errors.Is(err, os.ErrDeadlineExceeded)
 }
 
-// wantsClose reports whether the request asks for the end of the connection.
+// wantsClose reports whether the request has the header Connection: close.
 func wantsClose(h http.Header) bool {
 	for name, values := range h {
 		if strings.EqualFold(name, "Connection") && httpguts.HeaderValuesContainsToken(values, "close") {
@@ -251,8 +253,8 @@
 	return false
 }
 
-// body returns the reader of the answer's body. An answer without one has
-// ended by now, and so has its exchange.
+// body returns the reader of the response body. A response without a body is
+// complete, which ends the exchange.
 func (x *exchange) body(resp *http.Response) (io.ReadCloser, error) {
 	if resp.Body != http.NoBody {
 		return &body{x: x, resp: resp}, nil
@@ -268,8 +270,8 @@
 	x    *exchange
 	resp *http.Response
 
-	mu  sync.Mutex // held during Read; Close doesn't take it
-	err error      // of all further reads
+	mu  sync.Mutex // held during Read; Close doesn't lock it
+	err error      // returned by all further reads
 }
 
 // Read implements io.Reader.
@@ -295,7 +297,8 @@
 	return n, b.err
 }
 
-// interrupted returns why no more is read although bytes may be buffered.
+// interrupted returns the reason why nothing more may be read, even if bytes are
+// buffered; nil if there is none.
 func (b *body) interrupted() error {
 	if b.x.ctx.Err() != nil {
 		b.x.end(0)
@@ -307,8 +310,8 @@
 	return nil
 }
 
-// Close implements io.Closer. It closes the connection unless the answer has
-// been read to its end: what is left of an answer nobody wants may be endless.
+// Close implements io.Closer. It closes the connection unless the response has been
+// read to its end: the unread rest may be endless.
 func (b *body) Close() error {
 	b.x.end(0)
 	return nil
--- a/internal/exchange/conn.go
+++ b/internal/exchange/conn.go
@@ -17,28 +17,29 @@
 	"golang.org/x/sys/unix"
 )
 
-// userTimeout is how long written bytes may stay unacknowledged. A machine
-// behind a partition answers nothing, not even a reset; without this a write
-// to it fails only after the kernel's retries, about 15 min. It has a price: a
-// living target that takes none of a request's body for that long, while the
-// kernels' buffers are full, is cut off too (ETIMEDOUT, Sent=true).
+// userTimeout is how long written bytes may stay unacknowledged
+// (TCP_USER_TIMEOUT). A host behind a partition sends nothing, not even a reset;
+// without this a write to it fails only after the kernel's retransmissions, about
+// 15 min. The drawback is that a live target that reads nothing of a request's body
+// for that long, while the kernels' buffers are full, is disconnected too
+// (ETIMEDOUT, Sent=true).
 const userTimeout = 8 * time.Second
 
-var errHeadTooLong = errors.New("head of the answer is too long")
+var errHeadTooLong = errors.New("the response head is too long")
 
 // conn is a connection to a target, owned by one exchange or by Pool.idle.
 type conn struct {
 	net.Conn
 	address  string
 	br       *bufio.Reader // reads from the conn
-	headLeft int64         // bytes that may still be read, -1 = any number
+	headLeft int64         // bytes that may still be read of a head, -1 = not limited
 	usedHead bool          // a HEAD request was sent on it
 
-	expires time.Time   // Pool.mu: end of its idle time
-	timer   *time.Timer // Pool.mu: closes it at expires
+	expires time.Time   // end of its idle time; guarded by Pool.mu
+	timer   *time.Timer // closes it at expires; guarded by Pool.mu
 }
 
-// Read keeps within headLeft.
+// Read implements net.Conn. It returns errHeadTooLong once headLeft bytes are read.
 func (c *conn) Read(p []byte) (int, error) {
 	if c.headLeft < 0 {
 		return c.Conn.Read(p)
@@ -51,17 +52,18 @@
 	return n, err
 }
 
-// connect returns an idle connection that looks alive, else a new one.
+// connect returns an idle connection that is usable or, if there is none, a new
+// one.
 func (p *Pool) connect(ctx context.Context, r Request) (*conn, error) {
 	if ctx.Err() != nil {
 		return nil, contextError(ctx)
 	}
-	for !r.Fresh {
+	for !r.NewConnection {
 		c := p.take(r.Address)
 		if c == nil {
 			break
 		}
-		if c.quiet() {
+		if c.usable() {
 			p.reused.Add(1)
 			return c, nil
 		}
@@ -71,7 +73,7 @@
 	return p.dial(ctx, r.Address)
 }
 
-// dial makes a connection within DialTimeout.
+// dial opens a connection within DialTimeout.
 func (p *Pool) dial(ctx context.Context, address string) (*conn, error) {
 	dialCtx, cancel := context.WithTimeout(ctx, p.opts.DialTimeout)
 	defer cancel()
@@ -81,7 +83,8 @@
 	case ctx.Err() != nil:
 		return nil, contextError(ctx)
 	case dialCtx.Err() != nil || errors.Is(err, context.DeadlineExceeded):
-		// Not the dialer's error: it would read as the end of the caller's context.
+		// Wrapping the dialer's error instead would look like the end of the
+		// caller's context.
 		return nil, fmt.Errorf("dial %s: no connection within %v: %w", address, p.opts.DialTimeout, os.ErrDeadlineExceeded)
 	default:
 		return nil, fmt.Errorf("dial %s: %w", address, err)
@@ -99,8 +102,8 @@
 	}}
 }
 
-// setUserTimeout sets userTimeout where there is such a thing. A failure is
-// let pass: the connection works without it.
+// setUserTimeout sets userTimeout on a TCP connection. Failures are ignored, since
+// the connection works without it.
 func setUserTimeout(nc net.Conn) {
 	tcp, ok := nc.(*net.TCPConn)
 	if !ok {
@@ -115,11 +118,11 @@
 	})
 }
 
-// quiet reports whether the target has neither closed the idle connection nor
-// sent a byte on it. A request on a closed one would be lost as sent, and a
-// stray byte would be read as the start of its answer. Where the kernel can't
-// be asked, as for a pipe in memory, it is taken for quiet.
-func (c *conn) quiet() bool {
+// usable reports whether the target has neither closed the idle connection nor
+// sent a byte on it. A request on a closed one would fail with Sent=true, and an
+// unexpected byte would be read as the start of its response. A connection that is
+// not a socket, such as a pipe in memory, is assumed to be usable.
+func (c *conn) usable() bool {
 	sc, ok := c.Conn.(syscall.Conn)
 	if !ok {
 		return true
@@ -128,12 +131,12 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	usable := false
 	err = raw.Read(func(fd uintptr) bool {
-		quiet = nothingToRead(int(fd))
-		return true // never wait
+		usable = nothingToRead(int(fd))
+		return true // don't wait for the socket to become readable
 	})
-	return err == nil && quiet
+	return err == nil && usable
 }
 
 func nothingToRead(fd int) bool {
@@ -141,13 +144,14 @@
 	for {
 		_, _, err := unix.Recvfrom(fd, b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 		if err != unix.EINTR {
-			return err == unix.EAGAIN // nil: a byte, or the end
+			return err == unix.EAGAIN // nil: a byte, or the end of the stream
 		}
 	}
 }
 
-// take removes the connection that was used last: the others age and go, so
-// that no more are kept than are needed. Nil if there is none.
+// take removes and returns the most recently used idle connection, nil if there is
+// none. The others reach their idle timeout, so that only as many connections stay
+// open as are needed.
 func (p *Pool) take(address string) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -162,11 +166,11 @@
 		if now.Before(c.expires) {
 			return c
 		}
-		c.Close() // its timer is late
+		c.Close() // expired; its timer has not run yet
 	}
 }
 
-// put keeps c for at most d.
+// put adds c to the idle connections for at most d.
 func (p *Pool) put(c *conn, d time.Duration) {
 	if d <= 0 || p.opts.MaxIdle < 0 {
 		c.Close()
@@ -183,21 +187,21 @@
 	p.idle[c.address] = append(p.idle[c.address], c)
 }
 
-// remove takes c out of the list of idle ones. Caller holds mu.
+// remove removes c from the idle connections. The caller must hold p.mu.
 func (p *Pool) remove(c *conn) {
 	c.timer.Stop()
 	list := p.idle[c.address]
 	i := slices.Index(list, c)
 	list = slices.Delete(list, i, i+1)
 	if len(list) == 0 {
-		delete(p.idle, c.address) // addresses come and go
+		delete(p.idle, c.address) // addresses change over time; don't keep entries of old ones
 		return
 	}
 	p.idle[c.address] = list
 }
 
-// evict closes c if it is idle and its time is over. It may be neither: the
-// timer can fire just when c is taken, and c may be back by now.
+// evict closes c if it is idle and its idle time is over. Neither is certain: the
+// timer may fire just as c is taken, and c may have been put back since.
 func (p *Pool) evict(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -208,8 +212,8 @@
 	c.Close()
 }
 
-// CloseIdle closes the idle connections to address, e.g. when the target is
-// gone. Those in use aren't touched and are kept after their answer.
+// CloseIdle closes the idle connections to address, e.g. when the target is gone.
+// Connections in use aren't affected and may become idle after their response.
 func (p *Pool) CloseIdle(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -220,7 +224,7 @@
 	delete(p.idle, address)
 }
 
-// idleTime returns how long a connection may be kept after an answer with
+// idleTime returns how long a connection may stay idle after a response with
 // header h: limit, or less if the target closes it sooner (Options.IdleTimeout).
 func idleTime(h http.Header, limit time.Duration) time.Duration {
 	for _, field := range strings.Split(strings.Join(h.Values("Keep-Alive"), ","), ",") {
--- a/internal/exchange/connections_test.go
+++ b/internal/exchange/connections_test.go
@@ -35,12 +35,12 @@
 		{"no idle time", "GET", "HTTP/1.1 200 OK\r\nKeep-Alive: timeout=0\r\nContent-Length: 2\r\n\r\nok", "ok", nil, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			address := serveTCP(t, func(p *peer) { p.answers(c.answer, c.answer, c.answer) })
+			address := serveTCP(t, func(p *targetConn) { p.answers(c.answer, c.answer, c.answer) })
 			p := New(Options{})
 			for range 2 {
 				wantBody(t, p, Request{Address: address, Method: c.method, Header: c.header}, c.body)
 			}
-			wantBody(t, p, Request{Address: address, Method: c.method, Header: c.header, Fresh: true}, c.body)
+			wantBody(t, p, Request{Address: address, Method: c.method, Header: c.header, NewConnection: true}, c.body)
 			if c.kept {
 				wantStats(t, p, Stats{Dialed: 2, Reused: 1})
 			} else {
@@ -51,14 +51,13 @@
 }
 
 func TestDeadKeptConnection(t *testing.T) {
-	// Symptom: a request is carried out twice, or lost without need.
-	// Events: (a) the target closes a connection while it is idle; (b) it
-	// closes it after it has read the next request.
-	// Cause: (a) is seen before the reuse; (b) must be told as sent, and a
-	// transport that sends it again by itself would repeat it.
+	// Guards against a request that runs twice, or fails without need. If the target
+	// closes a connection while it is idle, that must be detected before the reuse.
+	// If it closes the connection after it has read the next request, the request
+	// must be reported as sent, and must not be retried by the pool itself.
 	var requests atomic.Int32
 	idleClosed := make(chan struct{})
-	address := serveTCP(t, func(p *peer) {
+	address := serveTCP(t, func(p *targetConn) {
 		p.answers(okAnswer)
 		if requests.Add(1) == 1 {
 			p.Close()
@@ -73,41 +72,41 @@
 	p := New(Options{})
 	wantBody(t, p, Request{Address: address}, "ok")
 	<-idleClosed
-	time.Sleep(20 * time.Millisecond) // the end crosses the loopback
+	time.Sleep(20 * time.Millisecond) // until the end of the connection has arrived
 	wantBody(t, p, Request{Address: address}, "ok")
 	wantStats(t, p, Stats{Dialed: 2, Stale: 1})
 	_, err := get(t, p, Request{Address: address, Method: "POST", Body: []byte("pay")})
 	wantSent(t, err, true)
 	if requests.Load() != 3 {
-		t.Fatalf("target saw %d requests, want 3", requests.Load())
+		t.Fatalf("target got %d requests, want 3", requests.Load())
 	}
 	wantStats(t, p, Stats{Dialed: 2, Reused: 1, Stale: 1})
 }
 
 func TestSilentMachine(t *testing.T) {
-	// Symptom: a request is repeated though its target is only slow, or waits
-	// for its whole time on a connection that is cut off.
-	// Events: the target's machine acknowledges nothing; or the target reads
-	// nothing for long, of a short or a long body, or answers late.
-	// Cause: told by the time to the answer, or by bytes that wait here.
-	slow := func(p *peer) {
+	// Guards against a request that is retried although its target is only slow, and
+	// against one that waits until its deadline on a connection without
+	// acknowledgements. Neither the time to the response nor the number of bytes
+	// that wait in the local socket may decide: a target may respond late, or read
+	// nothing of a short or a long body for a while.
+	slow := func(p *targetConn) {
 		time.Sleep(300 * time.Millisecond)
 		p.answers(okAnswer)
 	}
 	for _, size := range []int{10, 100_000, 1_000_000, 4_000_000} {
-		r := Request{Address: serveTCP(t, slow), Method: "POST", Body: make([]byte, size), SilentAfter: 50 * time.Millisecond}
+		r := Request{Address: serveTCP(t, slow), Method: "POST", Body: make([]byte, size), AckTimeout: 50 * time.Millisecond}
 		wantBody(t, New(Options{}), r, "ok")
 	}
-	for unacked, silentAfter := range map[int]time.Duration{0: 0, 40: 2 * time.Second} {
+	for unacked, failsAfter := range map[int]time.Duration{0: 0, 40: 2 * time.Second} {
 		synctest.Test(t, func(t *testing.T) {
-			p := serveMemory(t, Options{Unacked: func(net.Conn) int { return unacked }}, func(p *peer) {
+			p := serveMemory(t, Options{Unacked: func(net.Conn) int { return unacked }}, func(p *targetConn) {
 				p.request()
-				p.request() // until the other side closes
+				p.request() // blocks until the other side closes
 			})
 			start := time.Now()
-			_, err := get(t, p, Request{SilentAfter: 2 * time.Second})
+			_, err := get(t, p, Request{AckTimeout: 2 * time.Second})
 			wantSent(t, err, true)
-			if errors.Is(err, ErrSilent) != (silentAfter > 0) || silentAfter > 0 && time.Since(start) != silentAfter {
+			if errors.Is(err, ErrUnacknowledged) != (failsAfter > 0) || failsAfter > 0 && time.Since(start) != failsAfter {
 				t.Errorf("%d bytes not acknowledged: %v after %v", unacked, err, time.Since(start))
 			}
 		})
@@ -115,10 +114,10 @@
 }
 
 func TestDialFailureIsNotSent(t *testing.T) {
-	// Symptom: a request that no target has seen isn't tried elsewhere.
-	// Events: the dial is refused; the dial gets no answer.
-	// Cause: told like a lost answer. The dial's own end of time mustn't look
-	// like the end of the caller's context, who would give up.
+	// Guards against a request that no target has seen and that isn't retried
+	// elsewhere: the dial is refused or times out, and the error is reported like a
+	// lost response. The timeout of the dial must not look like the end of the
+	// caller's context, since the caller would then give up.
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -148,14 +147,14 @@
 	}
 }
 
-func TestIdleConnectionsEnd(t *testing.T) {
-	// Symptom: connections pile up, or a request meets the target's close.
-	// Events: connections aren't used for long; there are more than MaxIdle;
+func TestIdleConnectionsAreClosed(t *testing.T) {
+	// Guards against idle connections that nothing closes: they would accumulate, or
+	// a request would be sent just as the target closes one. Connections must be
+	// closed if they are idle for too long, if there are more than MaxIdle, and if
 	// the target is gone.
-	// Cause: idle connections that nothing closes.
 	synctest.Test(t, func(t *testing.T) {
 		var open atomic.Int32
-		p := serveMemory(t, Options{MaxIdle: 2}, func(p *peer) {
+		p := serveMemory(t, Options{MaxIdle: 2}, func(p *targetConn) {
 			open.Add(1)
 			defer open.Add(-1)
 			p.answers(okAnswer, okAnswer, okAnswer, okAnswer)
@@ -168,11 +167,11 @@
 			}
 		}
 		for range 3 {
-			wantBody(t, p, Request{Fresh: true}, "ok")
+			wantBody(t, p, Request{NewConnection: true}, "ok")
 		}
 		want(2)
 		time.Sleep(6 * time.Second)
-		wantBody(t, p, Request{}, "ok") // the last one lives on
+		wantBody(t, p, Request{}, "ok") // the last one stays open
 		time.Sleep(6 * time.Second)
 		want(1)
 		p.CloseIdle("target:1")
@@ -181,11 +180,12 @@
 	})
 }
 
-func TestManyAtOnce(t *testing.T) {
-	// Symptom: under load a caller gets another caller's body.
-	// Events: many exchanges with bodies of all lengths, some given up midway.
-	// Cause: a connection shared or kept too early. Run with -race.
-	address := serveTCP(t, func(p *peer) {
+func TestConcurrentExchanges(t *testing.T) {
+	// Guards against a caller that gets another caller's body under load, because a
+	// connection is shared or returned to the pool too early: many exchanges with
+	// bodies of different lengths, some of them closed before the end. Run with
+	// -race.
+	address := serveTCP(t, func(p *targetConn) {
 		for {
 			req, err := http.ReadRequest(p.br)
 			if err != nil {
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -1,20 +1,22 @@
-// Package exchange sends one HTTP/1.1 request to a target over a kept
-// connection and reads its answer.
+// Package exchange sends HTTP/1.1 requests to targets over pooled connections and
+// reads the responses.
 //
-// It exists beside http.Transport for three promises which that doesn't make:
+// It is used instead of http.Transport for three guarantees that http.Transport
+// does not give:
 //
-//   - It says exactly whether any byte of a request was written (Error.Sent),
-//     so that a caller repeats only what no target can have seen.
-//   - It never repeats a request by itself. http.Transport does when a kept
-//     connection turns out dead; a request that isn't idempotent could then be
-//     carried out twice without anybody's knowledge.
-//   - It never hands out bytes that belong to another request: a connection is
-//     kept only if it is certain that the last answer ended on it, it is
-//     checked for stray bytes before its next use, and an answer which names
-//     another attempt is read over.
+//   - It reports exactly whether any byte of a request was written (Error.Sent),
+//     so that a non-idempotent request is retried only if no target can have
+//     seen it.
+//   - It never retries a request by itself. http.Transport does if a reused
+//     connection turns out to be closed; a request that isn't idempotent could
+//     then run twice unnoticed.
+//   - It never returns bytes that belong to another request: a connection is
+//     reused only if the end of the last response on it is certain, it is checked
+//     for unexpected bytes before each reuse, and a response that carries the ID
+//     of another attempt is skipped.
 //
-// Messages are parsed by net/http (http.ReadResponse); only the connections
-// are this package's own.
+// Messages are parsed by net/http (http.ReadResponse); only the connection
+// handling is implemented here.
 package exchange
 
 import (
@@ -35,114 +37,116 @@
 	DefaultMaxHeaderBytes = 64 << 10
 )
 
-// Options of New. The zero value of a field stands for its default.
+// Options configure a Pool. A field with the zero value has its default.
 type Options struct {
-	// Dial makes a connection and must end with its context. Default is a
-	// net.Dialer whose keep-alive probes find a silent machine in 5 s.
+	// Dial opens a connection and must return when its context ends. The default
+	// is a net.Dialer whose keep-alive probes detect an unreachable host in 5 s.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-	// DialTimeout is the time a dial may take.
+	// DialTimeout is the timeout of a dial.
 	DialTimeout time.Duration
 
-	// MaxIdle is the number of idle connections kept per address; the one
-	// idle for longest goes first. Negative = keep none.
+	// MaxIdle is the maximum number of idle connections per address; the one that
+	// has been idle for longest is closed first. Negative = no idle connections.
 	MaxIdle int
 
-	// IdleTimeout is the time after which an idle connection is closed. A
-	// target that says Keep-Alive: timeout=N shortens it to N-1 s (N/2 s if
-	// N <= 2): else the target would close it while a request is on its way.
+	// IdleTimeout is the time after which an idle connection is closed. A target
+	// that sends Keep-Alive: timeout=N shortens it to N-1 s (N/2 s if N <= 2):
+	// otherwise the target might close the connection just as a request is sent
+	// on it.
 	IdleTimeout time.Duration
 
-	// MaxHeaderBytes bounds the head of an answer with the 1xx heads before it,
-	// give or take 4 KiB read ahead. Without it a target fills the memory.
+	// MaxHeaderBytes limits the size of a response head including the 1xx heads
+	// before it, with a tolerance of 4 KiB of read-ahead. Without the limit a
+	// target could exhaust the memory.
 	MaxHeaderBytes int
 
-	// AnswerID returns the ID of the attempt that an answer's header names, ""
-	// if none. Nil = no answer names one. An answer that comes late on a kept
-	// connection, between its check and the request, is told only by this.
+	// AnswerID returns the ID of the attempt that a response's header states, ""
+	// if none. Nil = responses state no ID. Only this detects a late response to
+	// an earlier request that arrives on a reused connection after the check for
+	// unexpected bytes.
 	AnswerID func(http.Header) string
 
-	// OnSend is called with each request that is about to be sent. What it
-	// returns is given the status and header of the request's own answer, if one
-	// comes. Nil = nobody listens.
+	// OnSend is called with each request that is about to be sent. The function
+	// that it returns is called with the status and header of the response to this
+	// request, if one arrives. Nil = no callback.
 	OnSend func(Request) (onAnswer func(status int, h http.Header))
 
-	// Unacked returns how many bytes written to the connection the machine at its
-	// other end has not acknowledged, 0 if that isn't known. Default asks the
-	// kernel.
+	// Unacked returns how many bytes written to the connection the remote host has
+	// not acknowledged, 0 if that isn't known. The default asks the kernel.
 	Unacked func(net.Conn) int
 }
 
-// Pool makes exchanges and keeps idle connections. Use New. Its methods may
-// be called by several goroutines at once.
+// Pool makes exchanges and keeps idle connections for reuse. It is safe for
+// concurrent use. Create one with New.
 type Pool struct {
 	opts Options
 
 	mu   sync.Mutex
-	idle map[string][]*conn // by address; the last one was used last
+	idle map[string][]*conn // by address; the most recently used one is last
 
 	dialed, reused, stale, mismatched atomic.Uint64
 }
 
-// Stats counts since New.
+// Stats holds the counters of a Pool since its creation.
 type Stats struct {
-	Dialed     uint64 // connections made
-	Reused     uint64 // requests begun on a kept connection
-	Stale      uint64 // kept connections dropped since the target closed them or sent stray bytes
-	Mismatched uint64 // answers read over since they named another attempt
+	Dialed     uint64 // connections opened
+	Reused     uint64 // requests sent on a reused connection
+	Stale      uint64 // idle connections dropped because the target had closed them or sent unexpected bytes
+	Mismatched uint64 // responses skipped because they belong to another attempt
 }
 
-// Request is one request. Its Body and Header must stay unchanged until Do
-// has failed, or the answer's Body has ended or been closed: a target may
-// answer while the body is still being written.
+// Request is one request. Its Body and Header must not be changed until Do has
+// failed, or until the response's Body has been read to its end or closed: a
+// target may respond while the request body is still being written.
 type Request struct {
-	Address string // host:port to connect to
-	Target  string // id of the target that is meant, for OnSend; "" = not known
-	Method  string // any but CONNECT
-	URI     string // request target, sent byte for byte
-	Host    string // Host header, sent byte for byte; "" = Address
-	ID      string // what AnswerID returns for this request's answer; "" = any
-	Header  http.Header
-	Body    []byte
-	Fresh   bool // use a new connection
-
-	// SilentAfter is how long the machine of the target may acknowledge nothing of
-	// the request, once that is written, before the exchange fails with ErrSilent.
-	// 0 = no bound of its own. A target that is slow to answer is not silent.
-	SilentAfter time.Duration
+	Address       string // host:port to connect to
+	Target        string // id of the intended target, for OnSend; "" = not known
+	Method        string // any but CONNECT
+	URI           string // request target, sent byte for byte
+	Host          string // Host header, sent byte for byte; "" = Address
+	ID            string // ID of the attempt, compared with the result of AnswerID; "" = not compared
+	Header        http.Header
+	Body          []byte
+	NewConnection bool // do not reuse an idle connection
+
+	// AckTimeout is how long the target's host may leave the request, once it is
+	// written, without any TCP acknowledgement before the exchange fails with
+	// ErrUnacknowledged. 0 = no timeout. It does not limit the time to the
+	// response: the host of a slow target acknowledges at once.
+	AckTimeout time.Duration
 }
 
-// Response is an answer whose head has come.
+// Response is a response whose head has been read.
 type Response struct {
 	Status        int
 	Header        http.Header
 	ContentLength int64 // as declared; -1 = not declared
 
-	// Body returns io.EOF only if the answer is complete: the declared length
-	// or the last chunk was read or, with neither, the target ended the
-	// connection in order. An early end is io.ErrUnexpectedEOF or the
-	// connection's error, the end of the context has the context's error in
-	// its chain. Read to the end it frees the connection; Close before the end
-	// closes the connection at once. One of both must happen, else the
-	// connection lives until the context ends. Close may be called during a
-	// Read.
+	// Body returns io.EOF only if the response is complete: the declared length
+	// or the last chunk was read or, with neither, the target closed the
+	// connection without a reset. A truncated response gives io.ErrUnexpectedEOF
+	// or the connection's error; if the context ended, its error is in the chain.
+	// Reading to the end releases the connection; Close before the end closes the
+	// connection at once. The caller must do one of both, otherwise the connection
+	// stays open until the context ends. Close may be called during a Read.
 	Body io.ReadCloser
 }
 
 // Error is the type of every error of Do.
 type Error struct {
-	// Sent is false if not one byte of the request was written to a
-	// connection: only then no target can have seen the request. Bytes that
-	// the kernel took count as sent, also if the target was dead by then.
+	// Sent is false if no byte of the request was written to a connection: only
+	// then is it certain that no target has seen the request. Bytes accepted by
+	// the kernel count as sent, even if the target was dead by then.
 	Sent bool
 
-	// Err is the reason. The context's error is in its chain if and only if
-	// the context given to Do ended; a dial that took longer than DialTimeout
-	// is os.ErrDeadlineExceeded.
+	// Err is the reason. The context's error is in its chain if and only if the
+	// context given to Do ended; a dial that exceeded DialTimeout has
+	// os.ErrDeadlineExceeded instead.
 	Err error
 }
 
-// Error implements error.
+// Error implements the error interface.
 func (e *Error) Error() string {
 	if e.Sent {
 		return "exchange: after sending: " + e.Err.Error()
@@ -182,7 +186,7 @@
 	return &Pool{opts: opts, idle: make(map[string][]*conn)}
 }
 
-// Stats returns the counts so far.
+// Stats returns a snapshot of the counters.
 func (p *Pool) Stats() Stats {
 	return Stats{
 		Dialed:     p.dialed.Load(),
@@ -192,9 +196,10 @@
 	}
 }
 
-// Do sends r and returns once the head of its answer has come. It sends r at
-// most once, on one connection. The end of ctx closes that connection at once,
-// also while the body is read. Every error is an *Error; a status is none.
+// Do sends r and returns once the head of its response has been read. It sends r
+// at most once, on one connection. When ctx ends, that connection is closed at
+// once, even while the body is being read. Every error is an *Error; no status is
+// an error.
 func (p *Pool) Do(ctx context.Context, r Request) (*Response, error) {
 	head, err := encodeHead(r)
 	if err != nil {
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -17,7 +17,7 @@
 func TestHeadOnTheWire(t *testing.T) {
 	for _, c := range []struct {
 		r    Request
-		want string // "" = refused
+		want string // "" = rejected
 	}{
 		{Request{Method: "GET", URI: "/a%2F../b?x=%zz", Host: "Some.Host:80"}, "GET /a%2F../b?x=%zz HTTP/1.1\r\nHost: Some.Host:80\r\n\r\n"},
 		{Request{Method: "PUT", URI: "*"}, "PUT * HTTP/1.1\r\nHost: a:1\r\nContent-Length: 0\r\n\r\n"},
@@ -49,15 +49,15 @@
 }
 
 func TestAnswerBeforeEndOfRequest(t *testing.T) {
-	// Symptom: a request hangs, or the rest of a request reads as the next one.
-	// Events: the target refuses a long body by its head and stops reading.
-	// Cause: waiting for the write before reading, or going on writing and
-	// keeping the connection afterwards.
+	// A target responds to the head of a request with a long body and stops
+	// reading. The request must not block on the write before the response is
+	// read, and the connection must not be reused while the rest of the request is
+	// written, since the target would parse that as the next request.
 	for _, answer := range []string{okAnswer, "HTTP/1.1 204 No\r\n\r\n"} {
 		synctest.Test(t, func(t *testing.T) {
 			var rest int64
 			var end error
-			p := serveMemory(t, Options{}, func(p *peer) {
+			p := serveMemory(t, Options{}, func(p *targetConn) {
 				http.ReadRequest(p.br)
 				io.WriteString(p, answer)
 				time.Sleep(time.Second)
@@ -76,14 +76,13 @@
 }
 
 func TestAnswerToAnotherAttempt(t *testing.T) {
-	// Symptom: a caller gets another caller's answer.
-	// Events: the target answers attempt 1 once more when attempt 2 is on its
-	// kept connection; the copy comes first.
-	// Cause: HTTP/1.1 pairs answers with requests by order alone.
+	// Guards against a caller that gets another caller's response: the target
+	// responds to attempt 1 once more after attempt 2 was sent on the same
+	// connection, and HTTP/1.1 assigns responses to requests by their order alone.
 	other := "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 5\r\n\r\nother"
 	chunked := "HTTP/1.1 200 OK\r\nId: 1\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nother\r\n0\r\n\r\n"
 	mine := "HTTP/1.1 200 OK\r\nId: 2\r\nContent-Length: 4\r\n\r\nmine"
-	// Read with the wrong end of the answer before it, a body is an answer.
+	// If the end of the response before it is wrong, this body is parsed as a response.
 	asBody := fmt.Sprintf("HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: %d\r\n\r\n%s", len(mine), mine)
 	toHEAD := fmt.Sprintf("HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: %d\r\n\r\n", strings.Index(asBody, mine))
 	for _, c := range []struct {
@@ -101,7 +100,7 @@
 		{"HEAD", "GET", "HEAD", asBody, 1, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			address := serveTCP(t, func(p *peer) {
+			address := serveTCP(t, func(p *targetConn) {
 				p.answers("HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 0\r\n\r\n", c.late)
 			})
 			p := New(Options{AnswerID: func(h http.Header) string { return h.Get("Id") }})
@@ -115,18 +114,18 @@
 			}
 			wantStats(t, p, Stats{Dialed: 1, Reused: 1, Mismatched: c.mismatched})
 			if len(p.idle) != 0 {
-				t.Fatal("the connection was kept")
+				t.Fatal("the connection was returned to the pool")
 			}
 		})
 	}
 }
 
 func TestBytesAfterAnswer(t *testing.T) {
-	// Symptom: a request gets an answer that was made before it.
-	// Events: a target sends more than the answer, with it or a while later.
-	// Cause: stray bytes read as the head of the next answer.
+	// Guards against a request that gets a response from before it was sent: a
+	// target sends more bytes than the response, together with it or later, and
+	// they are parsed as the head of the next response.
 	for _, delay := range []time.Duration{0, 20 * time.Millisecond} {
-		address := serveTCP(t, func(p *peer) {
+		address := serveTCP(t, func(p *targetConn) {
 			p.request()
 			stray := "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray"
 			if delay == 0 {
@@ -150,9 +149,9 @@
 }
 
 func TestEndOfBody(t *testing.T) {
-	// Symptom: a cut answer is handed on as a whole one.
-	// Events: the connection ends, in order or by a reset, amid an answer.
-	// Cause: the end of the connection taken for the end of the answer.
+	// Guards against a truncated response that is forwarded as a complete one: the
+	// connection ends in the middle of a response, regularly or by a reset, and
+	// that end is taken for the end of the response.
 	chunks := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	for _, c := range []struct {
 		name, answer string
@@ -167,9 +166,9 @@
 		{"no length, reset", "HTTP/1.1 200 OK\r\n\r\nok", true, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			address := serveTCP(t, func(p *peer) {
+			address := serveTCP(t, func(p *targetConn) {
 				p.answers(c.answer)
-				time.Sleep(20 * time.Millisecond) // a reset drops unread bytes
+				time.Sleep(20 * time.Millisecond) // a reset discards bytes that were not read yet
 				if c.reset {
 					p.reset()
 				}
@@ -184,13 +183,12 @@
 }
 
 func TestResetMetByWriter(t *testing.T) {
-	// Symptom: as above, rarely, and only for long requests.
-	// Events: a target resets the connection amid an answer without length
-	// while the request is still being written.
-	// Cause: the kernel reports a reset once; if the write takes it, the read
-	// sees a clean end.
+	// Guards against a truncated response that is taken for a complete one: a target
+	// resets the connection in the middle of a response without a length while a
+	// long request is still being written. The kernel reports a reset only once; if
+	// the write gets it, the read sees a regular end.
 	read := make(chan struct{})
-	address := serveTCP(t, func(p *peer) {
+	address := serveTCP(t, func(p *targetConn) {
 		http.ReadRequest(p.br)
 		io.WriteString(p, "HTTP/1.1 200 OK\r\n\r\nok")
 		<-read
@@ -209,15 +207,15 @@
 }
 
 func TestCancelClosesConnection(t *testing.T) {
-	// Symptom: a target works on for callers that have gone; goroutines pile up.
-	// Events: the context ends in any phase of an exchange.
-	// Cause: a blocked read or write that nothing interrupts. synctest fails
-	// if a goroutine outlives the test.
+	// Guards against targets that continue to work for callers that have
+	// disconnected, and against leaked goroutines: the context ends in any phase of
+	// an exchange, and nothing interrupts a blocked read or write. synctest fails if
+	// a goroutine outlives the test.
 	for _, phase := range []string{"dial", "write", "head", "body", "close"} {
 		t.Run(phase, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				closed := make(chan struct{})
-				p := serveMemory(t, Options{}, func(p *peer) {
+				p := serveMemory(t, Options{}, func(p *targetConn) {
 					defer close(closed)
 					if phase != "write" {
 						p.request()
@@ -236,7 +234,7 @@
 					p = New(Options{Dial: memnet.Listen().Dial, DialTimeout: time.Hour})
 					close(closed)
 				}
-				cause := errors.New("caller has gone")
+				cause := errors.New("caller disconnected")
 				ctx, cancel := context.WithCancelCause(t.Context())
 				time.AfterFunc(time.Second, func() { cancel(cause) })
 				start := time.Now()
@@ -264,22 +262,22 @@
 	}
 }
 
-func TestCancelAtTheEnd(t *testing.T) {
-	// Symptom: a request fails on a kept connection, closed by our own side.
-	// Events: the context ends just as the answer does.
-	// Cause: the connection is kept although its closing has begun.
+func TestCancelAsResponseEnds(t *testing.T) {
+	// Guards against a request that fails on a reused connection because this side
+	// closed it: the context ends at the same time as the response, and the
+	// connection is returned to the pool although it is about to be closed.
 	ctx, cancel := context.WithCancel(t.Context())
-	address := serveTCP(t, func(p *peer) { p.answers("HTTP/1.1 204 No\r\n\r\n") })
+	address := serveTCP(t, func(p *targetConn) { p.answers("HTTP/1.1 204 No\r\n\r\n") })
 	p := New(Options{AnswerID: func(http.Header) string { cancel(); return "" }})
 	if _, err := p.Do(ctx, Request{Address: address, Method: "GET", URI: "/"}); err != nil || len(p.idle) != 0 {
 		t.Fatalf("%v, kept %d", err, len(p.idle))
 	}
 }
 
-func TestAnswersRefused(t *testing.T) {
-	// Symptom: memory fills, or bytes that aren't HTTP are read as answers.
-	// Events: an endless head, endless 1xx heads, 101, a malformed head.
-	// Cause: a target's answer trusted without bounds.
+func TestInvalidResponses(t *testing.T) {
+	// Guards against exhausted memory and against bytes that aren't HTTP being
+	// parsed as responses: the target sends an endless head, endless 1xx heads, 101,
+	// or a malformed head.
 	interim := "HTTP/1.1 100 Go\r\n\r\n"
 	for _, answer := range []string{
 		"HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 1<<20) + "\r\n\r\n",
@@ -289,7 +287,7 @@
 		"what?\r\n\r\n",
 		"",
 	} {
-		address := serveTCP(t, func(p *peer) { p.answers(answer) })
+		address := serveTCP(t, func(p *targetConn) { p.answers(answer) })
 		_, err := get(t, New(Options{}), Request{Address: address})
 		wantSent(t, err, true)
 	}
--- a/internal/exchange/fuzz_test.go
+++ b/internal/exchange/fuzz_test.go
@@ -11,8 +11,9 @@
 	"time"
 )
 
-// FuzzAnswer has a target send any bytes for an answer, at once, and answer a second request as it should. Symptom: a
-// caller gets bytes of another answer, or more or less than its own. Cause: the end of an answer is found where it isn't.
+// FuzzAnswer has a target send arbitrary bytes as a response, in one write, and respond to a second request correctly.
+// It guards against a caller that gets bytes of another response, or more or less than its own, because the end of a
+// response was determined wrongly.
 func FuzzAnswer(f *testing.F) {
 	const second = "HTTP/1.1 200 OK\r\nId: 2\r\nContent-Length: 6\r\n\r\nsecond"
 	for _, seed := range []string{
@@ -25,13 +26,13 @@
 		f.Add([]byte(seed), true)
 	}
 	f.Fuzz(func(t *testing.T, raw []byte, head bool) {
-		raw = raw[:min(len(raw), 4000)] // as much as is read at once
+		raw = raw[:min(len(raw), 4000)] // no more than is read at once
 		p := New(Options{
 			AnswerID: func(h http.Header) string { return h.Get("Id") },
 			Dial: func(context.Context, string, string) (net.Conn, error) {
 				near, far := net.Pipe()
 				answers := [][]byte{raw, []byte(second)}
-				raw = []byte(second) // of the next connection
+				raw = []byte(second) // for the next connection
 				go func() {
 					defer far.Close()
 					in := bufio.NewReader(far)
@@ -42,7 +43,7 @@
 						if _, err := far.Write(answer); err != nil {
 							return
 						}
-						_ = far.SetReadDeadline(time.Now().Add(time.Millisecond)) // an answer may end with the connection
+						_ = far.SetReadDeadline(time.Now().Add(time.Millisecond)) // a response may end with the connection
 					}
 				}()
 				return near, nil
@@ -61,18 +62,18 @@
 			case head && len(body) > 0, declared >= 0 && int64(len(body)) > declared, len(body) > len(all):
 				t.Errorf("%q: %d bytes, %d were declared", all, len(body), declared)
 			case err == nil && !head && declared >= 0 && resp.Status != http.StatusNoContent && resp.Status != http.StatusNotModified && int64(len(body)) != declared:
-				t.Errorf("%q: whole with %d of %d bytes", all, len(body), declared)
+				t.Errorf("%q: complete with %d of %d bytes", all, len(body), declared)
 			case declared >= 0 && !bytes.Contains(all, append([]byte("\n"), body...)):
 				t.Errorf("%q: the body is %q", all, body)
 			}
 		}
 		resp, err = p.Do(t.Context(), Request{Address: "t:1", Method: "GET", URI: "/", ID: "2"})
 		if err != nil {
-			return // of a connection that the target has closed
+			return // the target has closed the connection
 		}
 		defer resp.Body.Close()
 		if body, err := io.ReadAll(resp.Body); err != nil || string(body) != "second" {
-			t.Errorf("%q: the next request is answered %q, %v", all, body, err)
+			t.Errorf("%q: response to the next request %q, %v", all, body, err)
 		}
 	})
 }
--- a/internal/exchange/request.go
+++ b/internal/exchange/request.go
@@ -11,9 +11,9 @@
 	"golang.org/x/net/http/httpguts"
 )
 
-// encodeHead returns the head of r as it goes onto the wire. It refuses what
-// a target could read as more than one request, or as a request with another
-// body: the answer to the surplus would then be taken for the next request's.
+// encodeHead returns the head of r as it is sent. It rejects a request that a target
+// could parse as more than one request, or as a request with another body: the
+// response to the surplus would then be taken for that of the next request.
 func encodeHead(r Request) ([]byte, error) {
 	if err := checkLine(r); err != nil {
 		return nil, err
@@ -38,8 +38,8 @@
 	return b.Bytes(), nil
 }
 
-// checkLine refuses a method, URI or host with bytes that end the field. It
-// refuses CONNECT since no answer can be told from what follows it.
+// checkLine rejects a method, URI or host with bytes that would end the field. It
+// rejects CONNECT, since the end of its response can't be determined.
 func checkLine(r Request) error {
 	switch {
 	case !httpguts.ValidHeaderFieldName(r.Method) || r.Method == http.MethodConnect:
@@ -56,8 +56,8 @@
 	return strings.ContainsFunc(s, func(c rune) bool { return c <= ' ' || c == 0x7f })
 }
 
-// checkHeader refuses fields that can't be sent as given and returns the
-// names, in the caller's case, of those that encodeHead writes itself.
+// checkHeader rejects fields that can't be sent as given and returns the names, in
+// the caller's spelling, of those that encodeHead writes itself.
 func checkHeader(r Request) (exclude map[string]bool, err error) {
 	exclude = make(map[string]bool)
 	for name, values := range r.Header {
@@ -71,7 +71,7 @@
 		}
 		switch http.CanonicalHeaderKey(name) {
 		case "Host", "Transfer-Encoding":
-			return nil, fmt.Errorf("header %s isn't the caller's to set", name)
+			return nil, fmt.Errorf("header %s can't be set by the caller", name)
 		case "Content-Length":
 			if err := checkLength(values, len(r.Body)); err != nil {
 				return nil, err
@@ -82,18 +82,18 @@
 	return exclude, nil
 }
 
-// checkLength lets through only the length that the body has.
+// checkLength rejects a declared length that differs from that of the body.
 func checkLength(values []string, length int) error {
 	for _, value := range values {
 		if value != strconv.Itoa(length) {
-			return errors.New("header Content-Length isn't the length of the body")
+			return errors.New("header Content-Length differs from the length of the body")
 		}
 	}
 	return nil
 }
 
-// needsLength reports whether r declares a length: with a body, where a
-// method usually has one, and where the caller declared it.
+// needsLength reports whether Content-Length is sent: if r has a body, if its method
+// usually has one, or if the caller set the field.
 func needsLength(r Request, exclude map[string]bool) bool {
 	switch r.Method {
 	case http.MethodPost, http.MethodPut, http.MethodPatch:
--- a/internal/exchange/rig_test.go
+++ b/internal/exchange/rig_test.go
@@ -15,14 +15,14 @@
 
 const okAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-// peer is the target's side of a connection.
-type peer struct {
+// targetConn is the target's side of a connection.
+type targetConn struct {
 	net.Conn
 	br *bufio.Reader
 }
 
-// request reads a request; false at the end of the connection.
-func (p *peer) request() bool {
+// request reads a request; it returns false at the end of the connection.
+func (p *targetConn) request() bool {
 	req, err := http.ReadRequest(p.br)
 	if err != nil {
 		return false
@@ -31,8 +31,8 @@
 	return err == nil
 }
 
-// answers sends one of the given answers to each request, then closes.
-func (p *peer) answers(list ...string) {
+// answers sends the given responses, one to each request.
+func (p *targetConn) answers(list ...string) {
 	for _, answer := range list {
 		if !p.request() {
 			return
@@ -41,14 +41,14 @@
 	}
 }
 
-// reset ends the connection with a reset.
-func (p *peer) reset() {
+// reset closes the connection with a TCP reset.
+func (p *targetConn) reset() {
 	p.Conn.(*net.TCPConn).SetLinger(0)
 	p.Close()
 }
 
-// serve runs script for each connection to l, which it closes afterwards.
-func serve(t *testing.T, l net.Listener, script func(p *peer)) string {
+// serve runs script for each connection to l and closes the connection afterwards.
+func serve(t *testing.T, l net.Listener, script func(p *targetConn)) string {
 	t.Cleanup(func() { l.Close() })
 	go func() {
 		for {
@@ -58,15 +58,15 @@
 			}
 			go func() {
 				defer c.Close()
-				script(&peer{c, bufio.NewReader(c)})
+				script(&targetConn{c, bufio.NewReader(c)})
 			}()
 		}
 	}()
 	return l.Addr().String()
 }
 
-// serveTCP is serve on a loopback port.
-func serveTCP(t *testing.T, script func(p *peer)) string {
+// serveTCP is like serve, on a loopback port.
+func serveTCP(t *testing.T, script func(p *targetConn)) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -75,15 +75,16 @@
 	return serve(t, l, script)
 }
 
-// serveMemory is serve in memory for synctest, with a pool that dials it.
-func serveMemory(t *testing.T, opts Options, script func(p *peer)) *Pool {
+// serveMemory is like serve, in memory for synctest. It returns a pool that dials
+// the listener.
+func serveMemory(t *testing.T, opts Options, script func(p *targetConn)) *Pool {
 	l := memnet.Listen()
 	serve(t, l, script)
 	opts.Dial = l.Dial
 	return New(opts)
 }
 
-// get does one exchange and returns the body with the error of Do or Read.
+// get makes one exchange and returns the body, and the error of Do or Read.
 func get(t *testing.T, p *Pool, r Request) (string, error) {
 	if r.Method == "" {
 		r.Method = "GET"
--- a/internal/forwarding/crashes.go
+++ b/internal/forwarding/crashes.go
@@ -29,7 +29,7 @@
 // at the same time share one check.
 func (fl *flight) suspectCrash(target fleet.Target, err error) {
 	if !wasSent(err) || errors.Is(err, context.Canceled) || errors.Is(err, context.DeadlineExceeded) ||
-		errors.Is(err, errUnsigned) || errors.Is(err, exchange.ErrSilent) || fl.o.Crashes == nil {
+		errors.Is(err, errUnsigned) || errors.Is(err, exchange.ErrUnacknowledged) || fl.o.Crashes == nil {
 		return
 	}
 	known, fingerprint := make(chan struct{}), fl.fingerprint()
--- a/internal/forwarding/forwarder.go
+++ b/internal/forwarding/forwarder.go
@@ -282,7 +282,7 @@
 	fl.lastTarget = c.Target.ID
 	fl.triedTargets = append(fl.triedTargets, c.Target.ID)
 	resp, err := fl.o.Exchange.Do(ctx, exchange.Request{
-		Fresh: fl.newConnections, SilentAfter: fl.unacknowledgedTimeout(),
+		NewConnection: fl.newConnections, AckTimeout: fl.unacknowledgedTimeout(),
 		Address: c.Target.Address,
 		Target:  c.Target.ID,
 		Method:  fl.Request.Method,
