--- a/internal/forwarding/budget.go
+++ b/internal/forwarding/budget.go
@@ -93,7 +93,7 @@
 	o              BudgetOptions
 	startedAt      time.Time
 	services       map[string]*budgetWindow
-	instanceCounts budgetWindow // counts.retries holds the maximum number of instances in each slot
+	instanceCounts budgetWindow // its retries hold the maximum number of instances in each slot
 	knownInstances int          // last known number of instances
 	stats          BudgetStats
 }
--- a/internal/forwarding/loads_test.go
+++ b/internal/forwarding/loads_test.go
@@ -24,7 +24,7 @@
 	return &loadsRig{NewLoads(clock, "here", rand.New(rand.NewPCG(5, 6))), clock, []fleet.Target{one, two, three}}
 }
 
-// endFirst ends ten attempts at the endFirst target with the outcome.
+// endFirst ends ten attempts at the first target with the outcome.
 func (r *loadsRig) endFirst(outcome Outcome, load *relay.Load) {
 	for range 10 {
 		r.Done(r.targets[0], outcome, 10*time.Millisecond, load)
