--- a/internal/ingress/connections.go
+++ b/internal/ingress/connections.go
@@ -16,104 +16,105 @@
 )
 
 const (
-	// settleTime is how long a connection may wait for its request before it
-	// may be closed for another. Without it each caller of a burst would close
-	// the one before, whose request is on its way.
-	settleTime = time.Second
-	// lingerers bounds how many connections are turned away with patience, and
-	// lingerTime for how long each.
-	lingerers  = 32
-	lingerTime = 200 * time.Millisecond
-	// fullLogEvery is the shortest time between two reports of a full listener.
-	fullLogEvery = 10 * time.Second
+	// minWait is how long a connection has to wait for a request before it may be
+	// evicted for a new one. Without it each caller of a burst would evict the one
+	// before, whose request is about to arrive.
+	minWait = time.Second
+	// maxLingering is the maximum number of rejected connections that are kept open
+	// until their response is delivered, and lingerTimeout is the time limit for each.
+	maxLingering  = 32
+	lingerTimeout = 200 * time.Millisecond
+	// fullLogInterval is the minimum time between two log lines about a full
+	// listener.
+	fullLogInterval = 10 * time.Second
 )
 
-// connections bounds the connections at one listener.
+// connectionLimiter limits the number of connections at one listener.
 //
-// What goes wrong without it: callers that connect and send little use up the
-// descriptors of the process. One notices it by failures to connect to
-// targets, to the store and to other instances, which all need descriptors
-// too. Beyond the bound the connection goes that has waited longest for a
-// request, be it idle or one whose request never came: its caller loses
-// nothing that was read. If all are at work or new, the new connection is
-// refused, since every other would lose a request.
-type connections struct {
-	name   string // of the listener, for the log
-	clock  clock.Clock
-	logger *event.Logger
-	full   []byte // the answer to a connection that is turned away
+// Without it, callers that connect and send little use up the file descriptors of
+// the process. The symptom is failures to connect to targets, to the store and to
+// other instances, which need descriptors too. At the limit, the connection is
+// evicted that has waited longest for a request, whether it is idle or its first
+// request has never arrived: its caller loses nothing that was read. If all
+// connections have a request or are new, the new connection is rejected, since
+// closing any other would lose a request.
+type connectionLimiter struct {
+	name         string // of the listener, for logs and metrics
+	clock        clock.Clock
+	logger       *event.Logger
+	fullResponse []byte // response to a rejected connection
 
-	mu      sync.Mutex // guards all below
-	limit   int        // 0 = not bounded
-	open    int
-	waiting list.List // of *boundConn without a request, the longest first
-	linger  int       // connections that are being turned away
-	closed  int       // for others, since the last report
-	refused int       // since the last report
-	logged  time.Time // of the last report
+	mu         sync.Mutex // guards all below
+	limit      int        // 0 = no limit
+	open       int
+	waiting    list.List // of *limitedConn without a request, the longest waiting first
+	lingering  int       // number of rejected connections that are still open
+	evictions  int       // connections evicted since the last log line
+	rejections int       // connections rejected since the last log line
+	lastLogged time.Time // time of the last log line
 }
 
-// boundConn is a connection that counts.
-type boundConn struct {
+// limitedConn is a connection that is counted by a connectionLimiter.
+type limitedConn struct {
 	net.Conn
-	of *connections
+	limiter *connectionLimiter
 
-	// The fields below are guarded by of.mu.
-	place *list.Element // among those that wait; nil = it has a request
-	since time.Time     // when it began to wait
-	gone  bool          // it counts no more
-	cut   bool          // it was closed for another
+	// The fields below are guarded by limiter.mu.
+	element      *list.Element // in limiter.waiting; nil = it has a request
+	waitingSince time.Time     // when it began to wait
+	uncounted    bool          // it is no longer counted
+	evicted      bool          // it was closed for a new connection
 }
 
-// setLimit changes the bound; connections above it end as new ones come.
-func (g *connections) setLimit(limit int) {
+// setLimit changes the limit. Connections above it are closed as new ones arrive.
+func (g *connectionLimiter) setLimit(limit int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.limit = limit
 }
 
-// count returns how many connections there are.
-func (g *connections) count() int {
+// count returns the number of open connections.
+func (g *connectionLimiter) count() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.open
 }
 
-// boundListener hands out connections within the bound.
-type boundListener struct {
+// limitedListener accepts connections up to the limit.
+type limitedListener struct {
 	net.Listener
-	of *connections
+	limiter *connectionLimiter
 }
 
 // Accept implements net.Listener.
-func (l boundListener) Accept() (net.Conn, error) {
+func (l limitedListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
 		if err != nil {
 			return nil, err
 		}
-		if c := l.of.take(conn); c != nil {
+		if c := l.limiter.admit(conn); c != nil {
 			return c, nil
 		}
-		l.of.turnAway(conn)
+		l.limiter.reject(conn)
 	}
 }
 
-// take counts a new connection, closing another for it if need be. It returns
-// nil if there is no room.
-func (g *connections) take(conn net.Conn) *boundConn {
-	c := &boundConn{Conn: conn, of: g}
+// admit counts a new connection and evicts another one for it if necessary. It
+// returns nil if the connection has to be rejected.
+func (g *connectionLimiter) admit(conn net.Conn) *limitedConn {
+	c := &limitedConn{Conn: conn, limiter: g}
 	g.mu.Lock()
-	var victim *boundConn
+	var victim *limitedConn
 	ok := g.limit == 0 || g.open < g.limit
 	if !ok {
-		victim = g.victim()
+		victim = g.evict()
 		ok = victim != nil
-		g.report(ok)
+		g.logFull(ok)
 	}
 	if ok {
 		g.open++
-		g.wait(c)
+		g.setWaiting(c)
 	}
 	g.mu.Unlock()
 	if victim != nil {
@@ -125,69 +126,70 @@
 	return c
 }
 
-// victim takes out the connection that has waited longest, if it has waited
-// long enough. The lock is held.
-func (g *connections) victim() *boundConn {
+// evict removes and returns the connection that has waited longest, nil if none has
+// waited for minWait. The caller must hold g.mu and close the connection.
+func (g *connectionLimiter) evict() *limitedConn {
 	front := g.waiting.Front()
 	if front == nil {
 		return nil
 	}
-	c := front.Value.(*boundConn)
-	if g.clock.Now().Sub(c.since) < settleTime {
+	c := front.Value.(*limitedConn)
+	if g.clock.Now().Sub(c.waitingSince) < minWait {
 		return nil
 	}
-	c.cut = true
-	g.forget(c)
+	c.evicted = true
+	g.remove(c)
 	return c
 }
 
-// wait notes that the connection waits for a request. The lock is held.
-func (g *connections) wait(c *boundConn) {
-	if c.gone || c.place != nil {
+// setWaiting records that the connection waits for a request. The caller must hold
+// g.mu.
+func (g *connectionLimiter) setWaiting(c *limitedConn) {
+	if c.uncounted || c.element != nil {
 		return
 	}
-	c.since = g.clock.Now()
-	c.place = g.waiting.PushBack(c)
+	c.waitingSince = g.clock.Now()
+	c.element = g.waiting.PushBack(c)
 }
 
-// work notes that the connection has a request. The lock is held.
-func (g *connections) work(c *boundConn) {
-	if c.place != nil {
-		g.waiting.Remove(c.place)
-		c.place = nil
+// setActive records that the connection has a request. The caller must hold g.mu.
+func (g *connectionLimiter) setActive(c *limitedConn) {
+	if c.element != nil {
+		g.waiting.Remove(c.element)
+		c.element = nil
 	}
 }
 
-// forget takes the connection out of the count. The lock is held.
-func (g *connections) forget(c *boundConn) {
-	if c.gone {
+// remove stops counting the connection. The caller must hold g.mu.
+func (g *connectionLimiter) remove(c *limitedConn) {
+	if c.uncounted {
 		return
 	}
-	g.work(c)
-	c.gone = true
+	g.setActive(c)
+	c.uncounted = true
 	g.open--
 }
 
 // Close implements net.Conn.
-func (c *boundConn) Close() error {
-	c.of.mu.Lock()
-	c.of.forget(c)
-	c.of.mu.Unlock()
+func (c *limitedConn) Close() error {
+	c.limiter.mu.Lock()
+	c.limiter.remove(c)
+	c.limiter.mu.Unlock()
 	return c.Conn.Close()
 }
 
-// CloseWrite ends what is sent, as the library does before it closes a
-// connection with an answer that its caller has to get.
-func (c *boundConn) CloseWrite() error {
+// CloseWrite closes the sending side. net/http calls it before it closes a
+// connection whose response still has to reach the caller.
+func (c *limitedConn) CloseWrite() error {
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return half.CloseWrite()
 	}
 	return nil
 }
 
-// stateChanged is the server's hook.
-func (g *connections) stateChanged(conn net.Conn, state http.ConnState) {
-	c := boundOf(conn)
+// stateChanged is the http.Server.ConnState hook.
+func (g *connectionLimiter) stateChanged(conn net.Conn, state http.ConnState) {
+	c := limitedConnOf(conn)
 	if c == nil {
 		return
 	}
@@ -195,64 +197,66 @@
 	defer g.mu.Unlock()
 	switch state {
 	case http.StateActive:
-		g.work(c)
+		g.setActive(c)
 	case http.StateIdle:
-		g.wait(c)
+		g.setWaiting(c)
 	}
 }
 
-// boundOf returns the counted connection behind a server's, nil if none is.
-func boundOf(conn net.Conn) *boundConn {
+// limitedConnOf returns the limitedConn that a server's connection wraps, nil if
+// there is none.
+func limitedConnOf(conn net.Conn) *limitedConn {
 	if watch, ok := conn.(*headWatch); ok {
 		conn = watch.Conn
 	}
-	c, _ := conn.(*boundConn)
+	c, _ := conn.(*limitedConn)
 	return c
 }
 
-// abortIfCut ends a request whose connection was closed for another just as
-// the request came. Its caller would get no answer to what a target had done.
-func abortIfCut(ctx context.Context) {
+// abortIfEvicted aborts a request whose connection was evicted just as the request
+// arrived: the caller could not get the response after a target had run the request.
+func abortIfEvicted(ctx context.Context) {
 	conn, _ := ctx.Value(connKey{}).(net.Conn)
-	c := boundOf(conn)
+	c := limitedConnOf(conn)
 	if c == nil {
 		return
 	}
-	c.of.mu.Lock()
-	cut := c.cut
-	c.of.mu.Unlock()
-	if cut {
+	c.limiter.mu.Lock()
+	evicted := c.evicted
+	c.limiter.mu.Unlock()
+	if evicted {
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// report logs a full listener now and then. The lock is held.
-func (g *connections) report(madeRoom bool) {
-	if madeRoom {
-		g.closed++
+// logFull logs that the listener is full, at most once per fullLogInterval. The
+// caller must hold g.mu.
+func (g *connectionLimiter) logFull(evicted bool) {
+	if evicted {
+		g.evictions++
 	} else {
-		g.refused++
+		g.rejections++
 	}
 	now := g.clock.Now()
-	if !g.logged.IsZero() && now.Sub(g.logged) < fullLogEvery {
+	if !g.lastLogged.IsZero() && now.Sub(g.lastLogged) < fullLogInterval {
 		return
 	}
-	g.logger.Log(event.IngressConnectionsFull, "listener", g.name, "limit", g.limit, "closed", g.closed, "refused", g.refused)
-	g.logged, g.closed, g.refused = now, 0, 0
+	g.logger.Log(event.IngressConnectionsFull, "listener", g.name, "limit", g.limit, "closed", g.evictions, "refused", g.rejections)
+	g.lastLogged, g.evictions, g.rejections = now, 0, 0
 }
 
-// turnAway answers a connection beyond the bound and closes it. Closed with
-// bytes that were not read it would be reset, and the answer lost on its way, so
-// a few are read out for a moment first; the others are closed at once, since
-// they must not become too many in their turn.
-func (g *connections) turnAway(conn net.Conn) {
+// reject sends a response to a connection above the limit and closes it. Closing it
+// with unread bytes would reset it, and the response could be lost, so the request is
+// read and discarded for a short time first. That is done for at most maxLingering
+// connections; any further one is closed at once, so that they can't accumulate.
+func (g *connectionLimiter) reject(conn net.Conn) {
 	g.mu.Lock()
-	patient := g.linger < lingerers
-	if patient {
-		g.linger++
+	linger := g.lingering < maxLingering
+	if linger {
+		g.lingering++
 	}
 	g.mu.Unlock()
-	if !patient {
+	if !linger {
 		_ = conn.Close()
 		return
 	}
@@ -260,11 +264,11 @@
 		defer func() {
 			_ = conn.Close()
 			g.mu.Lock()
-			g.linger--
+			g.lingering--
 			g.mu.Unlock()
 		}()
-		_ = conn.SetDeadline(time.Now().Add(lingerTime))
-		_, _ = conn.Write(g.full)
+		_ = conn.SetDeadline(time.Now().Add(lingerTimeout))
+		_, _ = conn.Write(g.fullResponse)
 		if half, ok := conn.(interface{ CloseWrite() error }); ok {
 			_ = half.CloseWrite()
 		}
@@ -272,10 +276,10 @@
 	}()
 }
 
-// fullAnswer is the answer to a connection that is turned away, as bytes.
-func (g *Ingress) fullAnswer() []byte {
+// encodeFullResponse returns the response to a rejected connection as bytes.
+func (g *Ingress) encodeFullResponse() []byte {
 	header := make(http.Header)
-	g.o.Codec.Own(header, nil, fullPause)
+	g.o.Codec.Own(header, nil, fullRetryAfter)
 	header.Set("Connection", "close")
 	header.Set("Content-Length", "0")
 	var b bytes.Buffer
--- a/internal/ingress/headwatch.go
+++ b/internal/ingress/headwatch.go
@@ -7,28 +7,29 @@
 	"sync"
 )
 
-// headWatch is a caller's connection that notices whether a request said a
-// length in its head.
+// headWatch is a caller's connection that detects whether the head of a request has
+// a Content-Length field.
 //
-// What goes wrong without it: a request says a length and comes in chunks as
-// well. The library takes the chunks, as it should, and drops the length
-// unseen; what lies within that length is then read as the next request,
-// though whoever passed the bytes on may have taken it for the body. Such a
-// connection has to end with the answer (RFC 9112, 6.1), others need not.
+// It prevents request smuggling by requests with both Content-Length and chunked
+// encoding. net/http correctly uses the chunks and drops the length without notice;
+// what follows the chunks is then parsed as the next request, although an
+// intermediary may have taken it for part of the body. Such a connection has to be
+// closed after the response (RFC 9112, 6.1); other connections need not be.
 type headWatch struct {
 	net.Conn
 
-	mu    sync.Mutex // guards all below
-	head  []byte     // of the request that is being read, as far as it has come
-	done  bool       // its end has come
-	taken hold       // for a long head
+	mu       sync.Mutex  // guards all below
+	head     []byte      // head of the request that is being read, as far as it has arrived
+	done     bool        // the head is complete, or exceeds maxWatchedHead
+	reserved reservation // memory of a long head
 }
 
 const (
-	// headWatched bounds the head that is looked at.
-	headWatched = defaultMaxHeader
-	// shortHead is how long a head may be before it counts as held. It is kept
-	// twice, here and by the library.
+	// maxWatchedHead is the maximum size of a head that is examined.
+	maxWatchedHead = defaultMaxHeader
+	// shortHead is the size up to which a head does not count for the memory limit.
+	// Bytes beyond it count headCopies times: one copy is stored here, one in
+	// net/http.
 	shortHead  = 4 << 10
 	headCopies = 2
 )
@@ -47,39 +48,39 @@
 		return n, err
 	}
 	h.head = append(h.head, p[:n]...)
-	if full := h.countHead(); full != nil {
+	if full := h.reserveHead(); full != nil {
 		return 0, full
 	}
 	if end := bytes.Index(h.head, headEnd); end >= 0 {
 		h.head, h.done = h.head[:end], true
 	}
-	if len(h.head) > headWatched {
+	if len(h.head) > maxWatchedHead {
 		h.head, h.done = h.head[:0], true
 	}
 	return n, err
 }
 
-// countHead counts a long head as held. One beyond the bound ends the
-// connection, since there is no request yet that could be refused. The error is
-// a failed read, to which the library gives no answer: for any other it says
-// that the request is malformed, and the caller would not come again. The lock
-// is held.
-func (h *headWatch) countHead() error {
+// reserveHead reserves memory for a long head. If that exceeds the memory limit, the
+// connection is closed, since there is no request yet that could be refused. The
+// error is a net.OpError of a read, to which net/http sends no response: for any
+// other error it responds that the request is malformed, and the caller would not
+// retry. The caller must hold h.mu.
+func (h *headWatch) reserveHead() error {
 	want := headCopies * int64(len(h.head)-shortHead)
-	if h.taken.allowance == nil || want <= h.taken.bytes {
+	if h.reserved.memoryLimit == nil || want <= h.reserved.bytes {
 		return nil
 	}
-	if full := h.taken.add(want - h.taken.bytes); full != nil {
+	if full := h.reserved.add(want - h.reserved.bytes); full != nil {
 		return &net.OpError{Op: "read", Err: full}
 	}
 	return nil
 }
 
-// release gives back what a long head took. The lock is held.
+// release releases the memory of a long head. The caller must hold h.mu.
 func (h *headWatch) release() {
-	if h.taken.bytes > 0 {
-		h.taken.end()
-		h.taken.bytes = 0
+	if h.reserved.bytes > 0 {
+		h.reserved.end()
+		h.reserved.bytes = 0
 		h.head = nil
 	}
 }
@@ -88,12 +89,12 @@
 func (h *headWatch) Close() error {
 	h.mu.Lock()
 	h.release()
-	h.taken.allowance = nil
+	h.reserved.memoryLimit = nil
 	h.mu.Unlock()
 	return h.Conn.Close()
 }
 
-// CloseWrite ends what is sent, see boundConn.
+// CloseWrite closes the sending side, see limitedConn.CloseWrite.
 func (h *headWatch) CloseWrite() error {
 	if half, ok := h.Conn.(interface{ CloseWrite() error }); ok {
 		return half.CloseWrite()
@@ -101,15 +102,16 @@
 	return nil
 }
 
-// saysLength reports whether the head of the request says a length, or was not
-// seen: it came in one piece with the request before.
-func (h *headWatch) saysLength() bool {
+// mayHaveLength reports whether the head of the request has a Content-Length field,
+// or was not examined because it arrived in the same read as the request before or is
+// too long.
+func (h *headWatch) mayHaveLength() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return !h.done || len(h.head) == 0 || bytes.Contains(bytes.ToLower(h.head), lengthField)
 }
 
-// next begins to look at the next request.
+// next starts to examine the next request.
 func (h *headWatch) next() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -117,10 +119,10 @@
 	h.head, h.done = h.head[:0], false
 }
 
-// watchedListener hands out connections that notice lengths.
+// watchedListener wraps accepted connections in a headWatch.
 type watchedListener struct {
 	net.Listener
-	held *allowance
+	held *memoryLimit
 }
 
 // Accept implements net.Listener.
@@ -129,24 +131,24 @@
 	if err != nil {
 		return nil, err
 	}
-	return &headWatch{Conn: conn, taken: hold{allowance: l.held}}, nil
+	return &headWatch{Conn: conn, reserved: reservation{memoryLimit: l.held}}, nil
 }
 
 type connKey struct{}
 
-// withConn keeps the connection for the handler.
+// withConn stores the connection in the context of its requests.
 func withConn(ctx context.Context, conn net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, conn)
 }
 
-// bothLengths reports whether a request in chunks may have said a length too.
-// On a connection that is not watched it may.
-func bothLengths(ctx context.Context, chunked bool) bool {
+// mayHaveBothLengths reports whether a request in chunks may have a Content-Length
+// field too. On a connection that is not a headWatch any request in chunks may.
+func mayHaveBothLengths(ctx context.Context, chunked bool) bool {
 	watch, ok := ctx.Value(connKey{}).(*headWatch)
-	return chunked && (!ok || watch.saysLength())
+	return chunked && (!ok || watch.mayHaveLength())
 }
 
-// nextHead is called when a request was answered.
+// nextHead is called when the response to a request is complete.
 func nextHead(ctx context.Context) {
 	if watch, ok := ctx.Value(connKey{}).(*headWatch); ok {
 		watch.next()
--- a/internal/ingress/headwatch_test.go
+++ b/internal/ingress/headwatch_test.go
@@ -9,22 +9,22 @@
 	"testing"
 )
 
-// bytesConn is a connection on which given bytes come, some at a time.
-type bytesConn struct {
+// chunkedConn is a connection whose reads return the given bytes, at most piece of them at a time.
+type chunkedConn struct {
 	net.Conn
 	left  []byte
 	piece int
 }
 
-func (c *bytesConn) Read(p []byte) (int, error) {
+func (c *chunkedConn) Read(p []byte) (int, error) {
 	n := copy(p[:min(len(p), c.piece)], c.left)
 	c.left = c.left[n:]
 	return n, nil
 }
 
-// FuzzHeadWatch: a head that says a length is never taken for one that does not,
-// however it is cut up, whatever else it holds. Otherwise what stands behind the
-// chunks of a request is read as another one.
+// FuzzHeadWatch checks that a Content-Length field in a head is never missed,
+// however the head is split into reads and whatever else it contains. Otherwise the
+// bytes after the chunks of a request could be parsed as another request.
 func FuzzHeadWatch(f *testing.F) {
 	for _, head := range []string{
 		"POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
@@ -36,21 +36,21 @@
 		f.Add([]byte(head), uint8(200))
 	}
 	f.Fuzz(func(t *testing.T, sent []byte, piece uint8) {
-		watch := &headWatch{Conn: &bytesConn{left: sent, piece: int(piece) + 1}}
+		watch := &headWatch{Conn: &chunkedConn{left: sent, piece: int(piece) + 1}}
 		for buffer := make([]byte, 512); ; {
 			if n, _ := watch.Read(buffer); n == 0 {
 				break
 			}
 		}
 		if _, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(sent))); err != nil {
-			return // the library takes no request
+			return // net/http rejects the request
 		}
-		// The request itself does not tell: its length is dropped if it comes in chunks.
+		// http.ReadRequest drops the length of a request in chunks, so the head is parsed separately.
 		lines := textproto.NewReader(bufio.NewReader(bytes.NewReader(sent)))
 		_, _ = lines.ReadLine()
 		fields, _ := lines.ReadMIMEHeader()
-		if _, says := fields["Content-Length"]; says && !watch.saysLength() {
-			t.Errorf("a length was overlooked in %q", sent)
+		if _, says := fields["Content-Length"]; says && !watch.mayHaveLength() {
+			t.Errorf("Content-Length was missed in %q", sent)
 		}
 	})
 }
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -1,7 +1,7 @@
-// Package ingress is the listener for callers' plain HTTP requests: it reads a
-// request whole, finds its route and the holder of its key, and hands it to
-// package forwarding. It also answers whether the instance is ready, and where
-// callers may connect.
+// Package ingress serves callers' plain HTTP requests: it reads a request
+// completely, finds its route and the organisation that holds its API key, and
+// passes it to package forwarding. It also serves the readiness check and the query
+// for the addresses that callers may connect to.
 package ingress
 
 import (
@@ -24,26 +24,28 @@
 	"lynxhill.example/lynxhill/internal/route"
 )
 
-// Defaults that hold until a configuration is known, and times of the listener.
+// Defaults that apply until a configuration is known, and timeouts of the servers.
 const (
 	defaultMaxHeader  = 64 << 10
 	defaultMaxBody    = 4 << 20
 	defaultHeaderTime = 5 * time.Second
 	defaultIdle       = 20 * time.Second
-	// idleMargin is added to the idle time that callers are told: one that
-	// still uses a connection then must not find it closed.
-	idleMargin = 2 * time.Second
-	bodyTime   = 10 * time.Second
-	// answerTime bounds a request with its answer, so that a caller who takes no
-	// answer does not hold its request for ever. It is above the longest time
-	// that a request may take, so only such callers meet it.
-	answerTime = 70 * time.Second
-	// unknownYet is when a caller may come back to an instance that does not
-	// know its configuration yet.
-	unknownYet = 200 * time.Millisecond
+	// idleMargin is added to the configured idle timeout, which callers know: a
+	// caller that reuses a connection just before that timeout must not find the
+	// connection closed.
+	idleMargin  = 2 * time.Second
+	bodyTimeout = 10 * time.Second
+	// responseTimeout limits the time of a request including its response, so that
+	// a caller that does not read its response does not occupy memory forever. It
+	// exceeds the longest time that a request may take, so it affects only such
+	// callers.
+	responseTimeout = 70 * time.Second
+	// unknownRetryAfter is the retry delay given to a caller while this instance
+	// does not know its configuration or can't be certain that it is current.
+	unknownRetryAfter = 200 * time.Millisecond
 )
 
-// Forwarder carries requests; forwarding.Forwarder implements it.
+// Forwarder forwards requests; forwarding.Forwarder implements it.
 type Forwarder interface {
 	Serve(ctx context.Context, w http.ResponseWriter, in forwarding.Inbound)
 }
@@ -54,80 +56,83 @@
 	Forwarder Forwarder
 	// Table returns the routes in force, nil until some are known.
 	Table func() *route.Table
-	// Known returns what an answer that there is no such route or key rests on. It
-	// may take a short while to make sure, after which Table may be newer.
+	// Known returns whether the routes in force are confirmed to be current. It is
+	// called before a request is refused because its route or key is unknown. It may
+	// take a short time to get a confirmation, after which Table may return a newer
+	// table.
 	Known func(ctx context.Context) Grounds
-	// Serving reports whether the instance takes requests at all.
+	// Serving reports whether the instance serves requests at all.
 	Serving func() bool
-	// Addresses returns the addresses to name to a caller in the place.
-	Addresses func(place string) []string
-	// AddressTTL is how long a caller may keep them.
+	// Addresses returns the addresses for a caller in the availability zone.
+	Addresses func(zone string) []string
+	// AddressTTL returns how long a caller may cache the addresses.
 	AddressTTL func() time.Duration
-	// TakeAfterStop is how long new requests are still taken once the instance
-	// is stopping.
+	// TakeAfterStop is how long new requests are still accepted after Stop.
 	TakeAfterStop time.Duration
 	Bounds        Bounds            // see SetBounds
-	Metrics       *metrics.Registry // nil = nobody reads them
+	Metrics       *metrics.Registry // nil = no metrics
 	Clock         clock.Clock
 	Logger        *event.Logger
 }
 
-// Grounds are what an answer that there is no such route or key rests on.
+// Grounds is the confirmation state of the routes in force. It decides whether a
+// request may be refused because its route or key is unknown.
 type Grounds struct {
-	// Sure reports whether the routes in force can't lack what they would have to hold.
+	// Sure reports whether the routes in force include every change that has to be
+	// in force by now.
 	Sure bool
-	// Age is that of the store's newest word that they are in force, Source whom it
-	// is from.
+	// Age is the age of the newest confirmation by the store that the routes are in
+	// force. Source is the source from which this instance got it.
 	Age    time.Duration
 	Source string
 }
 
 // Ingress serves callers. It is safe for concurrent use.
 type Ingress struct {
-	o        Options
-	inFlight atomic.Int64
-	held     allowance
-	times    histograms
-	refused  *expvar.Map
-	callers  *connections
-	ready    *connections              // that ask for readiness
-	where    *connections              // that ask for addresses
-	stopping atomic.Pointer[time.Time] // when it began, by the steady clock; nil = not
-	cancel   context.CancelFunc
-	base     context.Context
+	o              Options
+	inFlight       atomic.Int64
+	held           memoryLimit
+	times          histograms
+	refusals       *expvar.Map
+	callers        *connectionLimiter
+	readyQueries   *connectionLimiter        // of the readiness listener
+	addressQueries *connectionLimiter        // of the address listener
+	stopping       atomic.Pointer[time.Time] // time of Stop, by the monotonic clock; nil = not stopping
+	cancel         context.CancelFunc
+	base           context.Context
 }
 
-// New returns an ingress that takes requests.
+// New returns an ingress that accepts requests.
 func New(o Options) *Ingress {
 	base, cancel := context.WithCancel(context.Background())
 	g := &Ingress{o: o, base: base, cancel: cancel}
-	g.callers = g.connections("callers")
-	g.ready = g.connections("readiness")
-	g.where = g.connections("addresses")
+	g.callers = g.newLimiter("callers")
+	g.readyQueries = g.newLimiter("readiness")
+	g.addressQueries = g.newLimiter("addresses")
 	g.SetBounds(o.Bounds)
 	g.publish()
 	return g
 }
 
-func (g *Ingress) connections(name string) *connections {
-	return &connections{name: name, clock: g.o.Clock, logger: g.o.Logger, full: g.fullAnswer()}
+func (g *Ingress) newLimiter(name string) *connectionLimiter {
+	return &connectionLimiter{name: name, clock: g.o.Clock, logger: g.o.Logger, fullResponse: g.encodeFullResponse()}
 }
 
-// SetBounds changes what callers can make this instance hold. What is held
-// already stays.
+// SetBounds changes the limits on memory and connections. Requests and connections
+// above a new limit are not ended at once.
 func (g *Ingress) SetBounds(b Bounds) {
 	g.held.limit.Store(b.Held)
 	g.callers.setLimit(b.Connections)
-	g.ready.setLimit(b.Questions)
-	g.where.setLimit(b.Questions)
+	g.readyQueries.setLimit(b.QueryConnections)
+	g.addressQueries.setLimit(b.QueryConnections)
 }
 
-// Server returns the server of callers' requests, for CallerListener.
+// Server returns the server of callers' requests, to be used with CallerListener.
 func (g *Ingress) Server() *http.Server {
 	s := g.server(http.HandlerFunc(g.serve))
 	s.ConnContext = withConn
 	s.ConnState = g.callers.stateChanged
-	s.WriteTimeout = answerTime
+	s.WriteTimeout = responseTimeout
 	s.IdleTimeout = defaultIdle
 	if t := g.o.Table(); t != nil && t.Limits.IdleTimeout > 0 {
 		s.IdleTimeout = t.Limits.IdleTimeout + idleMargin
@@ -135,35 +140,39 @@
 	return s
 }
 
-// CallerListener returns l with what the server of callers' requests wants to
-// know of its connections.
+// CallerListener wraps l for Server: it limits the number of connections and watches
+// request heads, see headWatch.
 func (g *Ingress) CallerListener(l net.Listener) net.Listener {
-	return watchedListener{boundListener{l, g.callers}, &g.held}
+	return watchedListener{limitedListener{l, g.callers}, &g.held}
 }
 
-// ReadyServer returns the server of the question for readiness on the path, for
+// ReadyServer returns the server of the readiness check on the path, to be used with
 // ReadyListener.
 func (g *Ingress) ReadyServer(path string) *http.Server {
-	return g.questions(path, g.serveReady, g.ready)
+	return g.queryServer(path, g.serveReady, g.readyQueries)
 }
 
-// ReadyListener returns l bounded.
-func (g *Ingress) ReadyListener(l net.Listener) net.Listener { return boundListener{l, g.ready} }
+// ReadyListener wraps l for ReadyServer: it limits the number of connections.
+func (g *Ingress) ReadyListener(l net.Listener) net.Listener {
+	return limitedListener{l, g.readyQueries}
+}
 
-// AddressServer returns the server of the question for addresses on the path,
-// for AddressListener.
+// AddressServer returns the server of address queries on the path, to be used with
+// AddressListener.
 func (g *Ingress) AddressServer(path string) *http.Server {
-	return g.questions(path, g.serveAddresses, g.where)
+	return g.queryServer(path, g.serveAddresses, g.addressQueries)
 }
 
-// AddressListener returns l bounded.
-func (g *Ingress) AddressListener(l net.Listener) net.Listener { return boundListener{l, g.where} }
+// AddressListener wraps l for AddressServer: it limits the number of connections.
+func (g *Ingress) AddressListener(l net.Listener) net.Listener {
+	return limitedListener{l, g.addressQueries}
+}
 
-func (g *Ingress) questions(path string, h http.HandlerFunc, bound *connections) *http.Server {
+func (g *Ingress) queryServer(path string, h http.HandlerFunc, limiter *connectionLimiter) *http.Server {
 	mux := http.NewServeMux()
 	mux.HandleFunc(path, h)
 	s := g.server(mux)
-	s.ConnState = bound.stateChanged
+	s.ConnState = limiter.stateChanged
 	s.WriteTimeout = defaultIdle
 	return s
 }
@@ -179,30 +188,29 @@
 	}
 }
 
-// Stop makes the instance finish what it has: it is not ready any more, and
-// answers say that their connection ends.
+// Stop starts a graceful shutdown: the instance is no longer ready, and responses
+// tell callers that the connection will be closed.
 func (g *Ingress) Stop() {
 	began := g.o.Clock.Now()
 	g.stopping.CompareAndSwap(nil, &began)
 }
 
-// Cut ends the requests in flight at once.
+// Cut cancels the requests in flight.
 func (g *Ingress) Cut() { g.cancel() }
 
-// InFlight returns the number of requests that have no answer yet.
+// InFlight returns the number of requests whose response is not complete.
 func (g *Ingress) InFlight() int { return int(g.inFlight.Load()) }
 
 // Stopping reports whether Stop was called.
 func (g *Ingress) Stopping() bool { return g.stopping.Load() != nil }
 
-// closed reports whether new requests are refused since the instance is
-// stopping.
+// closed reports whether new requests are refused because the instance is stopping.
 func (g *Ingress) closed() bool {
 	since := g.stopping.Load()
 	return since != nil && g.o.Clock.Now().Sub(*since) > g.o.TakeAfterStop
 }
 
-// serveReady tells whether the instance takes requests.
+// serveReady answers the readiness check.
 func (g *Ingress) serveReady(w http.ResponseWriter, _ *http.Request) {
 	if g.Stopping() || g.o.Table() == nil || !g.o.Serving() {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -211,7 +219,7 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// serveAddresses tells where callers may connect.
+// serveAddresses answers an address query.
 func (g *Ingress) serveAddresses(w http.ResponseWriter, r *http.Request) {
 	addresses := g.o.Addresses(r.URL.Query().Get("zone"))
 	if len(addresses) == 0 {
@@ -223,19 +231,19 @@
 	_, _ = w.Write(body)
 }
 
-// serve takes one request of a caller.
+// serve handles one request of a caller.
 func (g *Ingress) serve(w http.ResponseWriter, r *http.Request) {
 	g.inFlight.Add(1)
 	defer g.inFlight.Add(-1)
 	defer nextHead(r.Context())
-	abortIfCut(r.Context())
-	hold := hold{allowance: &g.held}
-	defer hold.end()
+	abortIfEvicted(r.Context())
+	reserved := reservation{memoryLimit: &g.held}
+	defer reserved.end()
 	arrived := g.o.Clock.Now()
-	if bothLengths(r.Context(), len(r.TransferEncoding) > 0) || g.Stopping() {
+	if mayHaveBothLengths(r.Context(), len(r.TransferEncoding) > 0) || g.Stopping() {
 		w.Header().Set("Connection", "close")
 	}
-	in, err := g.admit(w, r, &hold)
+	in, err := g.admit(w, r, &reserved)
 	if err != nil {
 		g.refuse(w, in.Request, err)
 		return
@@ -245,11 +253,11 @@
 	g.o.Forwarder.Serve(r.Context(), w, in)
 }
 
-// admit reads the request and finds what the configuration says of it. The
-// body is read whole first: an answer before that would leave the connection
-// with bytes that belong to no request. Only where there is no room for it is it
-// left, see leaveBody.
-func (g *Ingress) admit(w http.ResponseWriter, r *http.Request, hold *hold) (forwarding.Inbound, error) {
+// admit reads the request and finds the configuration that applies to it. The body
+// is read completely first: a response before that would leave bytes on the
+// connection that belong to no request. Only a body that exceeds the memory limit is
+// not read, see skipBody.
+func (g *Ingress) admit(w http.ResponseWriter, r *http.Request, reserved *reservation) (forwarding.Inbound, error) {
 	var in forwarding.Inbound
 	table := g.o.Table()
 	req, err := g.o.Codec.Request(r)
@@ -257,11 +265,11 @@
 		return in, errkind.Wrap(err, errkind.BadRequest, "request")
 	}
 	in.Request = req
-	if err = hold.add(requestCost); err == nil {
-		req.Body, err = readBody(w, r, table, hold)
+	if err = reserved.add(requestCost); err == nil {
+		req.Body, err = readBody(w, r, table, reserved)
 	}
 	if errors.Is(err, errFull) {
-		leaveBody(w, r)
+		skipBody(w, r)
 	}
 	if err != nil {
 		return in, err
@@ -270,7 +278,7 @@
 	case g.closed():
 		return in, errkind.New(errkind.Stopping, "this instance is stopping")
 	case table == nil || !g.o.Serving():
-		return in, errkind.WithRetryAfter(errkind.New(errkind.Isolated, "the configuration is not known yet"), unknownYet)
+		return in, errkind.WithRetryAfter(errkind.New(errkind.Isolated, "the configuration is not known yet"), unknownRetryAfter)
 	}
 	in.Table = table
 	if err = match(&in); err == nil {
@@ -287,7 +295,7 @@
 	return in, g.unknown(in, known, err)
 }
 
-// match finds the request's route, and the organisation whose key it carries.
+// match finds the request's route and the organisation that holds its key.
 func match(in *forwarding.Inbound) error {
 	if in.Route = in.Table.Match(in.Request.Host, in.Request.Path); in.Route == nil {
 		return errNoRoute
@@ -302,18 +310,18 @@
 	return nil
 }
 
-// Answers for what the routes in force do not have.
+// Errors for routes and keys that the routes in force do not contain.
 var (
 	errNoRoute = errkind.New(errkind.NotFound, "no such route")
 	errNoKey   = errkind.New(errkind.Unauthenticated, "no such key")
 )
 
-// unknown is the answer for what the routes in force do not have. An instance
-// that may have missed a change does not say so: the caller would not come
-// again.
+// unknown returns the error for a route or key that the routes in force do not
+// contain. If the instance may have missed a change, the error is not final but asks
+// the caller to retry: after a final one the caller would not come again.
 func (g *Ingress) unknown(in forwarding.Inbound, known Grounds, err error) error {
 	if !known.Sure {
-		err = errkind.WithRetryAfter(errkind.New(errkind.Isolated, "%v here, but the configuration may be old", err), unknownYet)
+		err = errkind.WithRetryAfter(errkind.New(errkind.Isolated, "%v here, but the configuration may be old", err), unknownRetryAfter)
 	}
 	g.o.Logger.Log(event.IngressUnknown, "request", in.Request.ID, "kind", errkind.Of(err), "host", in.Request.Host,
 		"path", in.Request.Path[:min(len(in.Request.Path), maxLoggedPath)], "version", in.Table.Version,
@@ -321,11 +329,11 @@
 	return err
 }
 
-// maxLoggedPath bounds a path in a log line, in bytes.
+// maxLoggedPath is the maximum length of a path in a log line, in bytes.
 const maxLoggedPath = 64
 
-// readBody reads the whole body within the limits in force.
-func readBody(w http.ResponseWriter, r *http.Request, table *route.Table, hold *hold) ([]byte, error) {
+// readBody reads the whole body, subject to the limits in force.
+func readBody(w http.ResponseWriter, r *http.Request, table *route.Table, reserved *reservation) ([]byte, error) {
 	if r.Body == nil || r.ContentLength == 0 {
 		return nil, nil
 	}
@@ -334,9 +342,9 @@
 		limit = table.Limits.MaxBodyBytes
 	}
 	control := http.NewResponseController(w)
-	_ = control.SetReadDeadline(time.Now().Add(bodyTime))
+	_ = control.SetReadDeadline(time.Now().Add(bodyTimeout))
 	defer control.SetReadDeadline(time.Time{})
-	body, err := io.ReadAll(http.MaxBytesReader(w, counted{r.Body, hold}, limit))
+	body, err := io.ReadAll(http.MaxBytesReader(w, countedBody{r.Body, reserved}, limit))
 	var large *http.MaxBytesError
 	switch {
 	case errors.Is(err, errFull):
@@ -349,7 +357,7 @@
 	return body, nil
 }
 
-// refuse gives an answer of our own.
+// refuse writes an error response of this instance.
 func (g *Ingress) refuse(w http.ResponseWriter, req *relay.Request, err error) {
 	after := errkind.RetryAfter(err)
 	if after == 0 {
--- a/internal/ingress/ingress_test.go
+++ b/internal/ingress/ingress_test.go
@@ -18,7 +18,7 @@
 	"lynxhill.example/lynxhill/internal/route"
 )
 
-// fakeCodec has headers of its own.
+// fakeCodec is a codec with X-* headers.
 type fakeCodec struct{ relay.Codec }
 
 func (fakeCodec) Request(r *http.Request) (*relay.Request, error) {
@@ -29,8 +29,8 @@
 	h.Set("X-After", after.String())
 }
 
-// state is what the ingress is told of its instance, and the forwarder that keeps what it gets.
-type state struct {
+// admissionRig is an ingress with settable instance state. It is also the forwarder, and stores the requests it gets.
+type admissionRig struct {
 	*Ingress
 	got                []forwarding.Inbound
 	table              *route.Table
@@ -38,18 +38,18 @@
 	clock              *quartz.Mock
 }
 
-func (r *state) Serve(_ context.Context, w http.ResponseWriter, in forwarding.Inbound) {
+func (r *admissionRig) Serve(_ context.Context, w http.ResponseWriter, in forwarding.Inbound) {
 	r.got = append(r.got, in)
 	w.WriteHeader(http.StatusOK)
 }
 
-func (r *state) stop(ago time.Duration) { r.Stop(); r.clock.Set(r.clock.Now().Add(ago)) }
+func (r *admissionRig) stop(ago time.Duration) { r.Stop(); r.clock.Set(r.clock.Now().Add(ago)) }
 
-// TestAdmission: what is answered without a target, and what is handed on.
+// TestAdmission checks which requests the ingress answers itself, and which it passes to the forwarder.
 func TestAdmission(t *testing.T) {
 	cases := []struct {
 		name, path, body, key string
-		change                func(*state)
+		change                func(*admissionRig)
 		status                int
 	}{
 		{"route and key", "/a/x", "body", "k", nil, 200},
@@ -61,19 +61,19 @@
 		{"wrong key", "/a/x", "", "kk", nil, 401},
 		{"anonymous", "/open/x", "", "", nil, 200},
 		{"anonymous with a wrong key", "/open/x", "", "kk", nil, 200},
-		{"no route, perhaps", "/b/x", "", "k", func(r *state) { r.confirmed = false }, 503},
-		{"wrong key, perhaps", "/a/x", "", "kk", func(r *state) { r.confirmed = false }, 503},
-		{"known though old", "/a/x", "", "k", func(r *state) { r.confirmed = false }, 200},
-		{"no configuration", "/b/x", "", "kk", func(r *state) { r.table = nil }, 503},
-		{"not serving", "/b/x", "", "kk", func(r *state) { r.serving = false }, 503},
-		{"stopping", "/a/x", "", "k", func(r *state) { r.stop(time.Second) }, 200},
-		{"stopped", "/a/x", "", "k", func(r *state) { r.stop(3 * time.Second) }, 503},
-		{"stopped, no route", "/b/x", "", "k", func(r *state) { r.stop(3 * time.Second) }, 503},
+		{"no route, not confirmed", "/b/x", "", "k", func(r *admissionRig) { r.confirmed = false }, 503},
+		{"wrong key, not confirmed", "/a/x", "", "kk", func(r *admissionRig) { r.confirmed = false }, 503},
+		{"known, not confirmed", "/a/x", "", "k", func(r *admissionRig) { r.confirmed = false }, 200},
+		{"no configuration", "/b/x", "", "kk", func(r *admissionRig) { r.table = nil }, 503},
+		{"not serving", "/b/x", "", "kk", func(r *admissionRig) { r.serving = false }, 503},
+		{"stopping", "/a/x", "", "k", func(r *admissionRig) { r.stop(time.Second) }, 200},
+		{"stopped", "/a/x", "", "k", func(r *admissionRig) { r.stop(3 * time.Second) }, 503},
+		{"stopped, no route", "/b/x", "", "k", func(r *admissionRig) { r.stop(3 * time.Second) }, 503},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			clock := quartz.NewMock(t).WithLogger(quartz.NoOpLogger)
-			r := &state{confirmed: true, serving: true, clock: clock, table: (&route.Table{
+			r := &admissionRig{confirmed: true, serving: true, clock: clock, table: (&route.Table{
 				Routes:        []route.Route{{Host: "h", PathPrefix: "/a/"}, {Host: "h", PathPrefix: "/open/", Anonymous: true}},
 				Organisations: []route.Organisation{{Name: "o", Keys: []string{"k"}}}, Limits: route.Limits{MaxBodyBytes: 10},
 			}).Build()}
@@ -89,14 +89,14 @@
 			r.Server().Handler.ServeHTTP(w, request)
 			r.ReadyServer("/ready").Handler.ServeHTTP(ready, httptest.NewRequest("GET", "/ready", nil))
 			if w.Code != c.status || (c.status == 200) != (len(r.got) == 1) || len(r.got) == 1 && string(r.got[0].Request.Body) != c.body {
-				t.Fatalf("status %d, handed on: %+v", w.Code, r.got)
+				t.Fatalf("status %d, forwarded: %+v", w.Code, r.got)
 			}
 			well := r.table != nil && r.serving && !r.Stopping()
 			if c.status == 200 && (r.got[0].Organisation != nil) != (c.key == "k") || well != (ready.Code == 200) {
-				t.Errorf("ready: %d, handed on: %+v", ready.Code, r.got)
+				t.Errorf("status of the readiness check: %d, forwarded: %+v", ready.Code, r.got)
 			}
 			if after := w.Header().Get("X-After"); c.status == 503 && !r.Stopping() && (after == "" || after[0] == '-') {
-				t.Errorf("to come back after %q", after)
+				t.Errorf("retry delay %q", after)
 			}
 			if closes := w.Header().Get("Connection") == "close"; closes != r.Stopping() || r.InFlight() != 0 {
 				t.Errorf("Connection: close is %v, %d in flight", closes, r.InFlight())
@@ -105,18 +105,18 @@
 	}
 }
 
-// Symptom: an instance that stops refuses callers that still hold its address, or takes them up to its end. Events: the
-// time of day steps by seconds meanwhile. Cause: the moment of the order was kept as a time of day.
+// Guards against a stopping instance that refuses callers that still have its address cached, or accepts requests until it
+// exits, because the wall clock steps by seconds in the meantime: the time of Stop has to be measured by the monotonic clock.
 func TestAStopIsTimedByTheSteadyClock(t *testing.T) {
 	g := New(Options{Codec: fakeCodec{}, Clock: quartz.NewReal()})
 	g.Stop()
 	if began := g.stopping.Load(); !strings.Contains(began.String(), "m=") {
-		t.Errorf("%v has no reading of the steady clock", began)
+		t.Errorf("%v has no reading of the monotonic clock", began)
 	}
 }
 
-// What an answer that there is no such route rests on is logged.
-func TestRefusalAsUnknownLogsItsGrounds(t *testing.T) {
+// A refusal because the route is unknown logs the confirmation state that it is based on.
+func TestRefusalAsUnknownLogsConfirmation(t *testing.T) {
 	var lines bytes.Buffer
 	table := (&route.Table{Version: 7}).Build()
 	for _, sure := range []bool{true, false} {
@@ -136,9 +136,9 @@
 	}
 }
 
-// A request for a route that arrives while the instance makes sure is served.
-func TestRouteThatArrivesWhileMakingSureIsServed(t *testing.T) {
-	r := &state{serving: true, clock: quartz.NewMock(t).WithLogger(quartz.NoOpLogger), table: (&route.Table{Version: 1}).Build()}
+// A request whose route arrives while the instance waits for a confirmation of its routes is served.
+func TestRouteThatArrivesDuringConfirmationIsServed(t *testing.T) {
+	r := &admissionRig{serving: true, clock: quartz.NewMock(t).WithLogger(quartz.NoOpLogger), table: (&route.Table{Version: 1}).Build()}
 	r.Ingress = New(Options{
 		Codec: fakeCodec{}, Forwarder: r, Table: func() *route.Table { return r.table }, Clock: r.clock, Serving: func() bool { return true },
 		Known: func(context.Context) Grounds {
@@ -149,6 +149,6 @@
 	w := httptest.NewRecorder()
 	r.Server().Handler.ServeHTTP(w, httptest.NewRequest("GET", "http://h/new/x", nil))
 	if w.Code != 200 || len(r.got) != 1 || r.got[0].Table.Version != 2 {
-		t.Errorf("status %d, handed on: %+v", w.Code, r.got)
+		t.Errorf("status %d, forwarded: %+v", w.Code, r.got)
 	}
 }
--- a/internal/ingress/metrics.go
+++ b/internal/ingress/metrics.go
@@ -17,19 +17,19 @@
 	metricConnections = metrics.Define("ingress_connections", "connections", "Connections of callers, by listener; see ingress.descriptors.")
 )
 
-// kinds are those of routes.
+// kinds are the kinds of routes.
 var kinds = [...]route.Kind{route.NonIdempotent, route.Idempotent, route.Streaming}
 
-// publish makes the ingress's metrics readable. Nothing is computed before
-// somebody reads them.
+// publish registers the metrics of the ingress. Their values are computed when they
+// are read.
 func (g *Ingress) publish() {
 	r := g.o.Metrics
-	g.refused = r.Labelled(metricRefused)
+	g.refusals = r.Labelled(metricRefused)
 	r.Func(metricInFlight, func() any { return g.InFlight() })
 	r.Func(metricHeld, func() any { return g.held.held.Load() })
 	r.Func(metricConnections, func() any {
 		counts := make(map[string]int)
-		for _, c := range []*connections{g.callers, g.ready, g.where} {
+		for _, c := range []*connectionLimiter{g.callers, g.readyQueries, g.addressQueries} {
 			counts[c.name] = c.count()
 		}
 		return counts
@@ -43,12 +43,12 @@
 	})
 }
 
-// countTime counts a request that was handed on.
+// countTime records the time of a request that was passed to the forwarder.
 func (g *Ingress) countTime(kind route.Kind, arrived time.Time) {
 	g.times[kind].Add(g.o.Clock.Now().Sub(arrived))
 }
 
-func (g *Ingress) countRefused(err error) { g.refused.Add(errkind.Of(err).String(), 1) }
+func (g *Ingress) countRefused(err error) { g.refusals.Add(errkind.Of(err).String(), 1) }
 
-// histograms are the times by kind of route.
+// histograms are the request times by kind of route.
 type histograms [len(kinds)]telemetry.Histogram
--- a/internal/ingress/telemetry/telemetry.go
+++ b/internal/ingress/telemetry/telemetry.go
@@ -1,5 +1,5 @@
-// Package telemetry shows a registry of metrics as text and counts how long
-// things took.
+// Package telemetry serves the metrics of a registry as text, and provides a
+// histogram of durations.
 package telemetry
 
 import (
@@ -16,7 +16,7 @@
 	"lynxhill.example/lynxhill/internal/metrics"
 )
 
-// Handler answers with all metrics of the registry.
+// Handler returns a handler that responds with all metrics of the registry.
 func Handler(r *metrics.Registry) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/plain; charset=utf-8")
@@ -24,13 +24,13 @@
 	})
 }
 
-// Write writes the metrics by name, one value a line: NAME VALUE, or
-// NAME{LABEL} VALUE where a metric has labels. What is no number is left out.
+// Write writes the metrics, one value per line: NAME VALUE, or NAME{LABEL} VALUE if
+// the metric has labels. Values that are not numbers are omitted.
 func Write(w io.Writer, r *metrics.Registry) {
 	for _, d := range metrics.All() {
 		var value any
 		if json.Unmarshal([]byte(r.Value(d)), &value) != nil {
-			continue // the metric was not used yet
+			continue // the metric has no value yet
 		}
 		if labelled, ok := value.(map[string]any); ok {
 			for _, label := range slices.Sorted(maps.Keys(labelled)) {
@@ -48,36 +48,36 @@
 	}
 }
 
-// limits are the upper bounds of a Histogram's buckets, in milliseconds.
-var limits = [...]int64{5, 10, 20, 50, 100, 200, 500, 1000, 2000, 5000, 10000}
+// bucketBounds are the upper bounds of a Histogram's buckets, in milliseconds.
+var bucketBounds = [...]int64{5, 10, 20, 50, 100, 200, 500, 1000, 2000, 5000, 10000}
 
-// Histogram counts durations by size. The zero value is empty, and an addition
-// is one atomic one, so that it costs nothing worth a switch. It is safe for
-// concurrent use.
+// Histogram counts durations in buckets. The zero value is empty. Adding a duration
+// costs two atomic additions, so there is no setting to disable it. It is safe
+// for concurrent use.
 type Histogram struct {
-	buckets [len(limits) + 1]atomic.Int64
+	buckets [len(bucketBounds) + 1]atomic.Int64
 	sumUS   atomic.Int64
 }
 
-// Add counts a duration.
+// Add adds a duration.
 func (h *Histogram) Add(d time.Duration) {
 	n := 0
-	for n < len(limits) && d > time.Duration(limits[n])*time.Millisecond {
+	for n < len(bucketBounds) && d > time.Duration(bucketBounds[n])*time.Millisecond {
 		n++
 	}
 	h.buckets[n].Add(1)
 	h.sumUS.Add(d.Microseconds())
 }
 
-// Into adds the counts to the values of a metric with labels: label,le=N is how
-// many took N milliseconds at most, label,le=all how many there were, and
-// label,sum_ms how long they took together.
+// Into sets the values of a labelled metric: label,le=N is the number of durations of
+// at most N milliseconds, label,le=all the number of all durations, and label,sum_ms
+// their sum in milliseconds.
 func (h *Histogram) Into(values map[string]int64, label string) {
 	var count int64
-	for n, limit := range limits {
+	for n, limit := range bucketBounds {
 		count += h.buckets[n].Load()
 		values[fmt.Sprintf("%s,le=%d", label, limit)] = count
 	}
-	values[label+",le=all"] = count + h.buckets[len(limits)].Load()
+	values[label+",le=all"] = count + h.buckets[len(bucketBounds)].Load()
 	values[label+",sum_ms"] = h.sumUS.Load() / int64(time.Millisecond/time.Microsecond)
 }
--- a/internal/ingress/telemetry/telemetry_test.go
+++ b/internal/ingress/telemetry/telemetry_test.go
@@ -10,8 +10,8 @@
 
 var d = [...]metrics.Definition{metrics.Define("test_0", "", ""), metrics.Define("test_1", "", ""), metrics.Define("test_2", "", ""), metrics.Define("test_3", "", ""), metrics.Define("test_4", "", "")}
 
-// TestPage: each kind of value as it stands on the page, by name and label.
-func TestPage(t *testing.T) {
+// TestHandlerWritesMetrics checks how each kind of value is written, by name and label.
+func TestHandlerWritesMetrics(t *testing.T) {
 	r := metrics.NewRegistry()
 	r.Counter(d[0]).Add(1 << 40)
 	r.Labelled(d[1]).Add("to ok", 2)
