--- a/internal/forwarding/crashes.go
+++ b/internal/forwarding/crashes.go
@@ -76,9 +76,9 @@
 	fl.crashChecked = nil
 }
 
-// excludedTargets returns the ids of the targets that a suspected request must
-// not be sent to, so that it stays isolated from other suspected requests. It
-// returns none if the request is not suspected.
+// excludedTargets returns the ids of the targets that a suspected request has to
+// avoid while there is another target, so that it stays isolated from other
+// suspected requests. It returns none if the request is not suspected.
 func (fl *flight) excludedTargets() []string {
 	if !fl.o.Crashes.Suspect(fl.fingerprint()) {
 		return nil
@@ -91,10 +91,10 @@
 	return fl.o.Crashes.Apart(fl.fingerprint(), ids)
 }
 
-// chooseTarget returns a plain target for the next attempt, and a function that reports
-// the end of the attempt to the crash guard. A suspected request gets a target
-// that runs no other suspected request, if there is one: if two requests run at a
-// target that dies, only one of them caused it.
+// chooseTarget returns a plain target for the next attempt, and a function that
+// reports the end of the attempt to the crash guard. A suspected request gets a
+// target that runs no other suspected request, if there is one: if two requests run
+// at a target that dies, one of them is harmless.
 func (fl *flight) chooseTarget() (target fleet.Target, endSuspect func(), ok bool) {
 	fingerprint, tried := fl.fingerprint(), fl.triedTargets
 	if fl.o.Crashes.Suspect(fingerprint) {
@@ -111,10 +111,9 @@
 	return target, fl.o.Crashes.Begin(fingerprint, target.ID), true
 }
 
-// beginAttempt reports the start of an attempt at the engine to the crash guard. ok is
-// false if the request is suspected and the engine is excluded for it, see
-// excludedTargets. After maxPassedOver rejections the request is served by any
-// engine.
+// beginAttempt reports the start of an attempt at the engine to the crash guard. ok
+// is false if the request is suspected and the engine is one of excludedTargets.
+// After maxPassedOver rejections the request is served by any engine.
 func (ef *engineFlight) beginAttempt(engine string) (endSuspect func(), ok bool) {
 	fingerprint := ef.fingerprint()
 	if !ef.o.Crashes.Suspect(fingerprint) {
--- a/internal/forwarding/loads.go
+++ b/internal/forwarding/loads.go
@@ -24,7 +24,7 @@
 	maxBackoff       = 4 * time.Second
 	zonePenalty      = 0.15 // of a target in another availability zone
 	failurePenalty   = 4.0  // of a target with a failure rate of 1
-	maxTargets       = 4096 // targets whose state is kept
+	maxTargets       = 4096 // number of targets above which the state of all targets is dropped
 )
 
 // Loads estimates the load and health of plain targets from this instance's own
@@ -143,7 +143,7 @@
 const (
 	Answered    Outcome = iota // the target answered with a status below 500
 	ServerError                // the target answered with a status of 500 or above
-	NoResponse                 // no complete response: the connection failed or the attempt timed out
+	NoResponse                 // no usable response: the connection failed, the attempt timed out, or the response was truncated or unsigned
 	Abandoned                  // the caller cancelled the request; says nothing about the target
 	Refused                    // the target stated that it did not run the request
 )
--- a/internal/forwarding/ratelimit.go
+++ b/internal/forwarding/ratelimit.go
@@ -43,8 +43,9 @@
 }
 
 // retryAfterPause returns the retry delay for a service whose targets accept no
-// requests: the time until the first of their pauses ends, or defaultRetryAfter if
-// a target is not paused.
+// requests: the time until the first of their pauses ends, but at least
+// defaultRetryAfter; defaultRetryAfter if one of the targets has not asked for a
+// pause.
 func (fl *flight) retryAfterPause() time.Duration {
 	now, next := fl.o.Clock.Now(), time.Duration(0)
 	if fl.o.Asks == nil {
