--- a/internal/routing/bench_test.go
+++ b/internal/routing/bench_test.go
@@ -10,8 +10,8 @@
 
 var benchSizes = []int{12, 100, 600}
 
-// BenchmarkChoose measures one choice, by policy and number of targets, with
-// nine models of which each target holds two.
+// BenchmarkChoose measures one choice by policy and number of targets. There are
+// nine models, of which each target has two loaded.
 func BenchmarkChoose(b *testing.B) {
 	for _, policy := range Policies() {
 		for _, n := range benchSizes {
@@ -56,8 +56,8 @@
 	}
 }
 
-// BenchmarkIndexBuild measures what a change of one target costs the next
-// choice.
+// BenchmarkIndexBuild measures the rebuild of the index that the first choice
+// after a change of a target has to do.
 func BenchmarkIndexBuild(b *testing.B) {
 	for _, n := range benchSizes {
 		b.Run(fmt.Sprintf("targets=%d", n), func(b *testing.B) {
--- a/internal/routing/choose.go
+++ b/internal/routing/choose.go
@@ -9,13 +9,13 @@
 	"lynxhill.example/lynxhill/internal/wire/targetapi"
 )
 
-// Source draws random numbers; *rand.Rand of math/rand/v2 is one.
-type Source interface {
+// RandSource generates random numbers; *rand.Rand of math/rand/v2 implements it.
+type RandSource interface {
 	IntN(n int) int
 	NormFloat64() float64
 }
 
-// Chooser chooses targets. It keeps no state of its own but the index.
+// Chooser selects targets. Its only state is the index.
 type Chooser struct {
 	Board  *board.Board
 	Index  *Index
@@ -24,38 +24,38 @@
 	Tuning Tuning
 }
 
-// Pick is one question to the chooser.
+// Pick holds the arguments of Chooser.Choose.
 type Pick struct {
 	Query    *Query
 	Provider profile.Provider
 	Policy   Policy
 	Now      time.Time
 	View     LocalView
-	Rand     Source
-	Turn     uint64 // counts the choices of the service, for PolicyRoundRobin
+	Rand     RandSource
+	Turn     uint64 // number of choices made for the service, for PolicyRoundRobin
 	Mean     Mean
 }
 
-// Verdict says how a choice ended.
+// Verdict is the result of a choice.
 type Verdict int
 
-// Verdicts.
+// Results of a choice.
 const (
 	Chosen      Verdict = iota
-	AllFull             // there are candidates, none has room
-	NoCandidate         // no target of the service may take the call
+	AllFull             // there are candidates, but none has capacity
+	NoCandidate         // no target of the service is eligible for the call
 )
 
-// candidate is a target that may take the call, with what is known of it.
+// candidate is a target that is eligible for the call, with its known load.
 type candidate struct {
 	entry    *Entry
 	load     board.Load
 	reported bool
 	local    Local
-	score    time.Duration // set where candidates are compared
+	score    time.Duration // set only where candidates are compared
 }
 
-// Choose picks a target for the query from the provider's service.
+// Choose selects a target for the query from the provider's service.
 func (c *Chooser) Choose(p Pick) (Choice, Verdict) {
 	service := c.Index.Service(p.Provider.Service)
 	if service == nil {
@@ -63,7 +63,7 @@
 	}
 	best, ok := c.byPolicy(&p, service)
 	if !ok {
-		return c.lastResort(&p, service)
+		return c.fallback(&p, service)
 	}
 	return c.choice(&p, best), Chosen
 }
@@ -71,7 +71,7 @@
 func (c *Chooser) byPolicy(p *Pick, s *Service) (candidate, bool) {
 	switch p.Policy {
 	case PolicyRandom:
-		return c.sample(p, s.All)
+		return c.drawOrScan(p, s.All)
 	case PolicyRoundRobin:
 		return c.roundRobin(p, s.All)
 	case PolicyLeastInFlight:
@@ -85,9 +85,10 @@
 	return Choice{Target: best.entry.Target, Provider: p.Provider, Estimate: c.estimate(p, best)}
 }
 
-// lastResort tells full services from empty ones. When everything that could
-// run the call is ejected, an ejected target is better than a refusal.
-func (c *Chooser) lastResort(p *Pick, s *Service) (Choice, Verdict) {
+// fallback is used when no target is usable. It distinguishes a service whose
+// targets are full from one without candidates. If all candidates are ejected,
+// it chooses an ejected one with capacity, which is better than a refusal.
+func (c *Chooser) fallback(p *Pick, s *Service) (Choice, Verdict) {
 	verdict := NoCandidate
 	allEjected := true
 	var spare candidate
@@ -108,13 +109,13 @@
 	return Choice{}, verdict
 }
 
-// candidate reports whether the target may take the call, whether or not it
-// has room.
+// candidate reports whether the target is eligible for the call, whether or
+// not it has capacity.
 func (c *Chooser) candidate(p *Pick, e *Entry) (candidate, bool) {
 	if kind := p.Query.Stage.Kind; kind != "" && e.Target.Kind != kind {
 		return candidate{}, false
 	}
-	if !belongs(e.Target, p.Provider) {
+	if !matchesProvider(e.Target, p.Provider) {
 		return candidate{}, false
 	}
 	if slices.Contains(p.Query.Exclude, e.Target.ID) {
@@ -128,26 +129,29 @@
 	return candidate{entry: e, load: load, reported: reported, local: local}, true
 }
 
-// belongs reports whether the target may answer for the provider. Targets of two
-// providers stand in one service while work moves from one to the other; without
-// this, a call for the old one could run on the new one's engine, and the costs
-// of the two would be mixed up. A target that names no provider serves any, and a
-// provider that was given no name is served by any.
-func belongs(t board.Target, provider profile.Provider) bool {
+// matchesProvider reports whether the target may serve the provider. During a
+// migration from one provider to another, one service holds targets of both;
+// without this check, a call for the old provider could run on the new one's
+// engine and its cost would be attributed to the wrong provider. A target that
+// names no provider serves all of them, and a provider without a name of its
+// own is served by all targets.
+func matchesProvider(t board.Target, provider profile.Provider) bool {
 	if t.Provider == "" || provider.Name == "" || provider.Name == profile.DefaultProviderName {
 		return true
 	}
 	return t.Provider == provider.Name
 }
 
-// usable is a candidate with room that is not ejected.
+// usable returns the target as a candidate and reports whether it is eligible,
+// has capacity and is not ejected.
 func (c *Chooser) usable(p *Pick, e *Entry) (candidate, bool) {
 	cand, ok := c.candidate(p, e)
 	return cand, ok && !cand.local.Full && !cand.local.Ejected
 }
 
 // Serves reports whether a target has the provider's model, version and
-// adapter ready. A report that names no models says nothing about them.
+// adapter ready. If the report lists no models, the target is assumed to have
+// them.
 func Serves(report targetapi.LoadReport, provider profile.Provider) bool {
 	if provider.Model == "" || len(report.Models) == 0 {
 		return true
@@ -169,24 +173,26 @@
 	return adapter == "" || slices.Contains(m.Adapters, adapter)
 }
 
-// estimate is the expected time to completion.
+// estimate returns the expected time to completion.
 func (c *Chooser) estimate(p *Pick, cand candidate) time.Duration {
 	return c.completion(p, cand, 0)
 }
 
-// score is the time to completion for one draw of the target's load from what
-// it may be by now. Without the draw, the order of two targets with reports of
-// a second ago would be the same for every instance, however little is left of
-// the difference, and all calls would go to the same few until the next reports:
-// worse than a random choice.
+// score returns the time to completion for a load that is sampled from the
+// distribution of the target's present load. Without sampling, all instances
+// would rank two targets with second-old reports the same way, even when those
+// reports hardly matter any more, and all calls would go to the same few targets
+// until the next reports: worse than a random choice.
 func (c *Chooser) score(p *Pick, cand candidate) time.Duration {
 	return c.completion(p, cand, p.Rand.NormFloat64())
 }
 
+// completion returns the expected time to completion at a load that lies the
+// given number of standard deviations above the estimate.
 func (c *Chooser) completion(p *Pick, cand candidate, deviations float64) time.Duration {
 	slots := cand.load.Report.Slots
 	if slots <= 0 {
-		slots = c.Tuning.UnknownSlots
+		slots = c.Tuning.DefaultSlots
 	}
 	service := c.serviceTime(p, cand)
 	outstanding := p.Mean.PerSlot*float64(slots) + float64(cand.local.InFlight)
@@ -194,7 +200,7 @@
 		mid, deviation := c.Tuning.outstanding(cand.load, p.Now.Sub(cand.load.At), slots, service, p.Mean, cand.local)
 		outstanding = max(mid+deviations*deviation, 0)
 	}
-	total := Completion(outstanding, slots, service, c.Tuning.BatchSlowdown)
+	total := EstimateCompletion(outstanding, slots, service, c.Tuning.BatchSlowdown)
 	return total + c.distance(cand.entry.Target)
 }
 
@@ -207,10 +213,11 @@
 	case p.Mean.Service > 0:
 		return p.Mean.Service
 	default:
-		return c.Tuning.Unknown
+		return c.Tuning.DefaultServiceTime
 	}
 }
 
+// distance returns the latency penalty of a target in another zone or region.
 func (c *Chooser) distance(t board.Target) time.Duration {
 	switch {
 	case t.Region != c.Region:
--- a/internal/routing/choose_test.go
+++ b/internal/routing/choose_test.go
@@ -15,17 +15,17 @@
 
 var start = time.Date(2026, 3, 1, 9, 0, 0, 0, time.UTC)
 
-// fixedView answers with the rows of a map.
+// fixedView is a LocalView with fixed rows by target ID.
 type fixedView map[string]Local
 
 func (v fixedView) Local(id string, _ board.Load, _ bool) Local { return v[id] }
 
-func newBoard(n int, places ...string) *board.Board {
+func newBoard(n int, zones ...string) *board.Board {
 	b := board.New()
 	for i := range n {
 		id := fmt.Sprintf("t%03d", i)
-		place := places[i%len(places)]
-		b.Targets.Put(id, board.Target{ID: id, Service: "pool", Kind: profile.KindGenerate, Place: place, Region: "r" + place[:1]})
+		zone := zones[i%len(zones)]
+		b.Targets.Put(id, board.Target{ID: id, Service: "pool", Kind: profile.KindGenerate, Place: zone, Region: "r" + zone[:1]})
 		putLoad(b, id, 0, start)
 	}
 	return b
@@ -112,9 +112,10 @@
 	}
 }
 
-// Symptom: the costs of provider "old" hold work that "new" did. Events: both
-// have engines in one service with the same model ready. Cause: a choice that
-// looks at models and not at whose engine it is.
+// If the choice checked only the models and not the provider of an engine, then
+// with two providers in one service and the same model ready on both, calls of
+// provider "old" would run on engines of "new" and their costs would be
+// attributed to the wrong provider.
 func TestTargetsServeTheirProvider(t *testing.T) {
 	owners := map[string]string{"t000": "old", "t001": "new", "t002": ""}
 	tests := []struct {
@@ -158,7 +159,7 @@
 	}
 	b.Drains.Put("place/a1", board.Drain{})
 	if n := len(x.Service("pool").All); n != 2 {
-		t.Errorf("the drain of a place took targets out: %d, want 2", n)
+		t.Errorf("the drain of a zone removed targets: %d, want 2", n)
 	}
 	b.Targets.Delete("t000")
 	if n := len(x.Service("pool").All); n != 1 {
@@ -166,34 +167,34 @@
 	}
 	b.Drains.Put("targets-in/b1", board.Drain{})
 	if n := len(x.Service("pool").All); n != 1 {
-		t.Errorf("the evacuation of another place took targets out: %d, want 1", n)
+		t.Errorf("the evacuation of another zone removed targets: %d, want 1", n)
 	}
 	b.Drains.Put("targets-in/a1", board.Drain{})
 	if x.Service("pool") != nil && len(x.Service("pool").All) != 0 {
-		t.Errorf("after the place's evacuation %d targets, want none", len(x.Service("pool").All))
+		t.Errorf("after the zone's evacuation %d targets, want none", len(x.Service("pool").All))
 	}
 	b.Drains.Delete("targets-in/a1")
 	if n := len(x.Service("pool").All); n != 1 {
-		t.Errorf("after it was taken back %d targets, want 1", n)
+		t.Errorf("after the end of the evacuation %d targets, want 1", n)
 	}
 }
 
-func TestPlaceFirst(t *testing.T) {
+func TestZoneFirst(t *testing.T) {
 	b := newBoard(12, "a1", "a2", "b1")
 	p := newPick(fixedView{})
 	got := counts(newChooser(b), p, 300)
-	near := 0
+	sameZone := 0
 	for id, n := range got {
 		target, _ := b.Targets.Get(id)
 		if target.Region != "ra" {
 			t.Errorf("%s of another region was chosen %d times", id, n)
 		}
 		if target.Place == "a1" {
-			near += n
+			sameZone += n
 		}
 	}
-	if near < 290 {
-		t.Errorf("%d of 300 in the same place, want nearly all while it is idle", near)
+	if sameZone < 290 {
+		t.Errorf("%d of 300 in the same zone, want nearly all while it is idle", sameZone)
 	}
 	view := fixedView{}
 	for id, target := range b.Targets.Snapshot() {
@@ -206,9 +207,9 @@
 	}
 }
 
-// A report that is old must not draw everybody's calls: symptom, one target
-// with the luckiest old report gets far more than its share until the next
-// report; cause, an age that isn't taken into account.
+// An old report must not attract the calls of all instances. If the age of a
+// report were ignored, the target whose old report shows the lowest load would
+// get far more than its share until its next report.
 func TestOutstandingAges(t *testing.T) {
 	load := board.Load{Report: targetapi.LoadReport{Running: 0, Slots: 8}}
 	mean := Mean{PerSlot: 0.75}
@@ -254,8 +255,8 @@
 	}
 }
 
-// Symptom: cache events of one prefix in sixteen are never matched. Cause: the
-// engines write leading zeros.
+// Engines write hashes with leading zeros. A hash without them would not match
+// the cache events of one prefix in sixteen.
 func TestPrefixHashHasLeadingZeros(t *testing.T) {
 	for i := range 100 {
 		if hash := PrefixHash(fmt.Sprintf("prefix %d", i)); len(hash) != 16 {
--- a/internal/routing/index.go
+++ b/internal/routing/index.go
@@ -10,39 +10,39 @@
 	"lynxhill.example/lynxhill/internal/board"
 )
 
-// Entry is a target that takes new work, with its hash for rendezvous hashing.
+// Entry is a target that accepts new work, with its hash for rendezvous hashing.
 type Entry struct {
 	Target board.Target
 	hash   uint64
 }
 
-// Service holds the targets of one service that take new work, ordered by id.
+// Service holds the targets of one service that accept new work, ordered by ID.
 type Service struct {
 	All      []*Entry
-	byPlace  map[string][]*Entry
+	byZone   map[string][]*Entry
 	byRegion map[string][]*Entry
 }
 
-// Index holds the targets by service. It is made anew only when the tables of
-// targets or drains have changed, so that a choice among hundreds of targets
-// copies nothing of the board.
+// Index maps services to their targets. It is rebuilt only after the table of
+// targets or of drains has changed, so that a choice among hundreds of targets
+// does not copy the board's tables.
 type Index struct {
 	board   *board.Board
-	mu      sync.Mutex // held while the index is made anew
+	mu      sync.Mutex // serialises rebuilds
 	current atomic.Pointer[indexView]
 }
 
 type indexView struct {
-	targets  uint64 // revision of the table
-	drains   uint64 // revision of the table
+	targets  uint64 // revision of the table of targets
+	drains   uint64 // revision of the table of drains
 	services map[string]*Service
 }
 
 // NewIndex returns an index over the board.
 func NewIndex(b *board.Board) *Index { return &Index{board: b} }
 
-// Service returns the targets of a service, nil if it has none. The result
-// must not be changed.
+// Service returns the targets of a service, or nil if it has none. The caller
+// must not modify the result.
 func (x *Index) Service(name string) *Service { return x.view().services[name] }
 
 func (x *Index) view() *indexView {
@@ -63,8 +63,9 @@
 	return v != nil && v.targets == x.board.Targets.Revision() && v.drains == x.board.Drains.Revision()
 }
 
-// build reads the revisions before the rows: a row that changes meanwhile
-// leaves an old revision behind, and the next call builds again.
+// build builds a view of the board. It reads the revisions before the rows: if a
+// row changes meanwhile, the view has an old revision and the next call rebuilds
+// it.
 func (x *Index) build() *indexView {
 	v := &indexView{
 		targets:  x.board.Targets.Revision(),
@@ -86,16 +87,17 @@
 func (v *indexView) add(e *Entry) {
 	s := v.services[e.Target.Service]
 	if s == nil {
-		s = &Service{byPlace: make(map[string][]*Entry), byRegion: make(map[string][]*Entry)}
+		s = &Service{byZone: make(map[string][]*Entry), byRegion: make(map[string][]*Entry)}
 		v.services[e.Target.Service] = s
 	}
 	s.All = append(s.All, e)
 }
 
+// group sorts the targets by ID and groups them by zone and region.
 func (s *Service) group() {
 	sort.Slice(s.All, func(i, j int) bool { return s.All[i].Target.ID < s.All[j].Target.ID })
 	for _, e := range s.All {
-		s.byPlace[e.Target.Place] = append(s.byPlace[e.Target.Place], e)
+		s.byZone[e.Target.Place] = append(s.byZone[e.Target.Place], e)
 		s.byRegion[e.Target.Region] = append(s.byRegion[e.Target.Region], e)
 	}
 }
--- a/internal/routing/policies.go
+++ b/internal/routing/policies.go
@@ -1,43 +1,44 @@
 package routing
 
-// sampleTries bounds the draws for a usable target before the whole list is
-// gone through.
-const sampleTries = 12
+// maxDraws is the number of random draws made to find a usable target before
+// the caller scans the whole list.
+const maxDraws = 12
 
-// twoChoices takes the better of two usable targets of this place and one of
-// the rest of the region; the other regions are used only when this one has no
-// room. The one from outside keeps a place whose targets are slower or fewer
-// from being filled up to its limits first.
+// twoChoices returns the best of two random usable targets of this zone and one
+// of the whole region. Other regions are used only when this one has no usable
+// target. The draw from the region prevents a zone whose targets are slower or
+// fewer from being filled to its limits before others are used.
 func (c *Chooser) twoChoices(p *Pick, s *Service) (candidate, bool) {
 	if p.Query.Prefix != "" {
-		if preferred, ok := c.preferred(p, s); ok {
+		if preferred, ok := c.prefixTarget(p, s); ok {
 			return preferred, true
 		}
 	}
-	near, region := s.byPlace[c.Place], s.byRegion[c.Region]
-	best, found := c.betterOf(p, near, candidate{}, false)
-	best, found = c.betterOf(p, near, best, found)
-	best, found = c.betterOf(p, region, best, found)
-	if len(near) == 0 {
-		best, found = c.betterOf(p, region, best, found)
+	sameZone, region := s.byZone[c.Place], s.byRegion[c.Region]
+	best, found := c.drawBetter(p, sameZone, candidate{}, false)
+	best, found = c.drawBetter(p, sameZone, best, found)
+	best, found = c.drawBetter(p, region, best, found)
+	if len(sameZone) == 0 {
+		best, found = c.drawBetter(p, region, best, found)
 	}
 	if found {
 		return best, true
 	}
-	if best, found = c.fromAll(p, region); found {
+	if best, found = c.firstUsable(p, region); found {
 		return best, true
 	}
-	best, found = c.betterOf(p, s.All, best, found)
-	best, found = c.betterOf(p, s.All, best, found)
+	best, found = c.drawBetter(p, s.All, best, found)
+	best, found = c.drawBetter(p, s.All, best, found)
 	if found {
 		return best, true
 	}
-	return c.fromAll(p, s.All)
+	return c.firstUsable(p, s.All)
 }
 
-// betterOf draws one more target and keeps the one with the lower score.
-func (c *Chooser) betterOf(p *Pick, from []*Entry, best candidate, found bool) (candidate, bool) {
-	drawn, ok := c.draw(p, from)
+// drawBetter draws a random usable target and returns it or best, whichever has
+// the lower score. found reports whether best is set.
+func (c *Chooser) drawBetter(p *Pick, from []*Entry, best candidate, found bool) (candidate, bool) {
+	drawn, ok := c.drawUsable(p, from)
 	if !ok {
 		return best, found
 	}
@@ -48,11 +49,12 @@
 	return best, true
 }
 
-func (c *Chooser) draw(p *Pick, from []*Entry) (candidate, bool) {
+// drawUsable returns a random usable target. It gives up after maxDraws draws.
+func (c *Chooser) drawUsable(p *Pick, from []*Entry) (candidate, bool) {
 	if len(from) == 0 {
 		return candidate{}, false
 	}
-	for range sampleTries {
+	for range maxDraws {
 		if cand, ok := c.usable(p, from[p.Rand.IntN(len(from))]); ok {
 			return cand, true
 		}
@@ -60,9 +62,10 @@
 	return candidate{}, false
 }
 
-// fromAll goes through the list from a random start and takes the first usable
-// target: few have room, so there is little to compare.
-func (c *Chooser) fromAll(p *Pick, from []*Entry) (candidate, bool) {
+// firstUsable scans the list from a random start and returns the first usable
+// target. It runs after random draws have failed, when few targets have capacity
+// and a comparison would gain little.
+func (c *Chooser) firstUsable(p *Pick, from []*Entry) (candidate, bool) {
 	if len(from) == 0 {
 		return candidate{}, false
 	}
@@ -75,11 +78,12 @@
 	return candidate{}, false
 }
 
-func (c *Chooser) sample(p *Pick, from []*Entry) (candidate, bool) {
-	if cand, ok := c.draw(p, from); ok {
+// drawOrScan implements PolicyRandom.
+func (c *Chooser) drawOrScan(p *Pick, from []*Entry) (candidate, bool) {
+	if cand, ok := c.drawUsable(p, from); ok {
 		return cand, true
 	}
-	return c.fromAll(p, from)
+	return c.firstUsable(p, from)
 }
 
 func (c *Chooser) roundRobin(p *Pick, from []*Entry) (candidate, bool) {
@@ -98,7 +102,7 @@
 	}
 	var best candidate
 	found := false
-	start := p.Rand.IntN(len(from)) // ties go to a random one
+	start := p.Rand.IntN(len(from)) // breaks ties at random
 	for i := range from {
 		cand, ok := c.usable(p, from[(start+i)%len(from)])
 		if ok && (!found || cand.local.InFlight < best.local.InFlight) {
--- a/internal/routing/policy.go
+++ b/internal/routing/policy.go
@@ -2,10 +2,11 @@
 
 import "fmt"
 
-// Policy names a way to choose among the targets of a service.
+// Policy is the name of a load-balancing policy among the targets of a service.
 type Policy string
 
-// Policies. All but PolicyTwoChoices are baselines for measurement.
+// Load-balancing policies. All but PolicyTwoChoices are baselines for
+// benchmarks.
 const (
 	PolicyTwoChoices    Policy = "two_choices"
 	PolicyRandom        Policy = "random"
@@ -18,7 +19,8 @@
 	return []Policy{PolicyTwoChoices, PolicyRandom, PolicyRoundRobin, PolicyLeastInFlight}
 }
 
-// ParsePolicy returns the policy of a name; "" is PolicyTwoChoices.
+// ParsePolicy returns the policy with the given name, PolicyTwoChoices for an
+// empty name, or an error for an unknown one.
 func ParsePolicy(name string) (Policy, error) {
 	if name == "" {
 		return PolicyTwoChoices, nil
--- a/internal/routing/prefix.go
+++ b/internal/routing/prefix.go
@@ -6,20 +6,21 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// prefixRanks is how many targets, in rendezvous order, share a prefix before
-// it is given up and the call goes by two choices.
+// prefixRanks is the number of targets, in rendezvous order, that are
+// considered for a prefix before the call falls back to two choices.
 const prefixRanks = 3
 
-// PrefixHash returns the hash under which a prefix stands in cache events:
-// xxHash64 in 16 hexadecimal digits, with leading zeros.
+// PrefixHash returns the hash that identifies a prefix in cache events:
+// xxHash64 as 16 hexadecimal digits, with leading zeros.
 func PrefixHash(prefix string) string {
 	return fmt.Sprintf("%016x", xxhash.Sum64String(prefix))
 }
 
-// preferred returns the first target in the prefix's rendezvous order that is
-// usable and not loaded far above the mean. A target that is believed to have
-// the prefix cached goes before one that isn't; the belief is only a hint.
-func (c *Chooser) preferred(p *Pick, s *Service) (candidate, bool) {
+// prefixTarget returns the first target in the prefix's rendezvous order that is
+// usable and not loaded far above the mean. Targets that have the prefix cached
+// according to their cache events are preferred; the events are only a hint and
+// may be out of date.
+func (c *Chooser) prefixTarget(p *Pick, s *Service) (candidate, bool) {
 	from := s.byRegion[c.Region]
 	if len(from) == 0 {
 		from = s.All
@@ -33,7 +34,7 @@
 			continue
 		}
 		cand, ok := c.usable(p, e)
-		if !ok || c.overMean(p, cand) {
+		if !ok || c.loadedAboveMean(p, cand) {
 			continue
 		}
 		if c.cached(e, p.Query.Prefix, hash) {
@@ -46,7 +47,8 @@
 	return first, found
 }
 
-// topRanks returns the targets with the highest hashes, highest first.
+// topRanks returns the targets with the highest rendezvous hashes for the
+// prefix, highest first.
 func topRanks(from []*Entry, prefix uint64) [prefixRanks]*Entry {
 	var top [prefixRanks]*Entry
 	var scores [prefixRanks]uint64
@@ -65,6 +67,8 @@
 	return top
 }
 
+// cached reports whether the target's cache events list the prefix, by its hash
+// or by its text.
 func (c *Chooser) cached(e *Entry, prefix, hash string) bool {
 	set, ok := c.Board.Prefixes.Get(e.Target.ID)
 	if !ok {
@@ -77,12 +81,13 @@
 	return ok
 }
 
-// overMean is the bound on the load of a preferred target: a popular prefix
-// would otherwise pile its calls on one target while others are idle.
-func (c *Chooser) overMean(p *Pick, cand candidate) bool {
+// loadedAboveMean reports whether a target's load exceeds the bound for prefix
+// affinity. Without the bound, a popular prefix would overload one target while
+// others are idle.
+func (c *Chooser) loadedAboveMean(p *Pick, cand candidate) bool {
 	slots := cand.load.Report.Slots
 	if slots <= 0 {
-		slots = c.Tuning.UnknownSlots
+		slots = c.Tuning.DefaultSlots
 	}
 	load := float64(cand.local.InFlight)
 	if cand.reported {
--- a/internal/routing/provider.go
+++ b/internal/routing/provider.go
@@ -10,11 +10,11 @@
 )
 
 // ProviderOrder returns the providers with a weight above zero in the order in
-// which an organisation tries them: weighted rendezvous hashing, so that an
-// organisation keeps its provider, and a changed weight moves only the share
-// of organisations that must move. The stage plays no part, so that an
-// organisation moves in all stages together. Without an organisation the
-// request's key takes its place. If all weights are zero they count as equal.
+// which an organisation tries them. It uses weighted rendezvous hashing, so that
+// an organisation keeps its provider and a changed weight moves only the
+// necessary share of organisations. The stage is not part of the hash, so that
+// an organisation moves in all stages together. Without an organisation, the
+// request's key is hashed instead. If all weights are zero, they count as equal.
 func ProviderOrder(providers []profile.Provider, organisation, key string) []profile.Provider {
 	if len(providers) <= 1 {
 		return providers
@@ -38,7 +38,7 @@
 }
 
 func rankProviders(providers []profile.Provider, sticky uint64) []rankedProvider {
-	equal := allWeightless(providers)
+	equal := allWeightsZero(providers)
 	ranked := make([]rankedProvider, 0, len(providers))
 	for _, p := range providers {
 		weight := p.Weight
@@ -48,13 +48,13 @@
 		if weight <= 0 {
 			continue
 		}
-		u := unit(mix(sticky, xxhash.Sum64String(p.Name)))
+		u := unitInterval(mix(sticky, xxhash.Sum64String(p.Name)))
 		ranked = append(ranked, rankedProvider{provider: p, score: -weight / math.Log(u)})
 	}
 	return ranked
 }
 
-func allWeightless(providers []profile.Provider) bool {
+func allWeightsZero(providers []profile.Provider) bool {
 	for _, p := range providers {
 		if p.Weight > 0 {
 			return false
@@ -63,7 +63,7 @@
 	return true
 }
 
-// mix joins two hashes into one (the finaliser of SplitMix64).
+// mix combines two hashes into one with the finaliser of SplitMix64.
 func mix(a, b uint64) uint64 {
 	z := a ^ (b + 0x9e3779b97f4a7c15 + (a << 6) + (a >> 2))
 	z = (z ^ (z >> 30)) * 0xbf58476d1ce4e5b9
@@ -71,8 +71,8 @@
 	return z ^ (z >> 31)
 }
 
-// unit maps a hash to the open interval from 0 to 1.
-func unit(h uint64) float64 {
+// unitInterval maps a hash to the open interval (0, 1).
+func unitInterval(h uint64) float64 {
 	const bits = 53
 	return (float64(h>>(64-bits)) + 0.5) / (1 << bits)
 }
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -1,4 +1,5 @@
-// Package routing chooses targets: pure functions over facts of the board.
+// Package routing selects the target for a call. It computes its choice from
+// the tables of the board and does no I/O.
 package routing
 
 import (
@@ -8,19 +9,19 @@
 	"lynxhill.example/lynxhill/internal/profile"
 )
 
-// Query says what a stage needs of a target.
+// Query is what a stage requires of a target.
 type Query struct {
 	Stage        profile.Stage
 	Organisation string
-	Key          string // request key: makes the choice of provider sticky where the organisation is unknown
-	Prefix       string // prompt prefix for affinity; "" for none
-	Place        string // of this instance
-	Region       string
-	Exclude      []string // targets already tried by this request
+	Key          string   // request key: makes the choice of provider sticky where the organisation is unknown
+	Prefix       string   // prompt prefix for affinity; "" for none
+	Place        string   // availability zone of this instance
+	Region       string   // region of this instance
+	Exclude      []string // IDs of targets that this request must not use
 	Deadline     time.Time
 }
 
-// Choice is a target with the provider whose model it answers with.
+// Choice is the selected target together with the provider that it serves.
 type Choice struct {
 	Target   board.Target
 	Provider profile.Provider
--- a/internal/routing/trial_test.go
+++ b/internal/routing/simulation_test.go
@@ -15,45 +15,45 @@
 	"lynxhill.example/lynxhill/internal/wire/targetapi"
 )
 
-// trial is a small queueing model in virtual time: instances choose, targets
-// have slots and a first-come queue, every instance sees reports of one age.
-type trial struct {
+// simulation is a small queueing model in virtual time. Instances choose targets;
+// targets have slots and a FIFO queue; all instances see reports of the same age.
+type simulation struct {
 	policy    Policy
 	targets   int
 	instances int
 	slots     int
 	service   time.Duration // mean; lognormal with a coefficient of variation of 1
-	load      float64       // of all slots
-	age       time.Duration // interval of the reports; they are 0 to this old
-	riding    bool          // reports ride on responses too
+	load      float64       // offered load as a fraction of the capacity
+	age       time.Duration // interval of the reports, hence their greatest age
+	piggyback bool          // responses carry reports too
 	slow      int           // targets that take three times as long
-	memory    float64       // Tuning.ReportMemory, 0: the default
+	decay     float64       // Tuning.ReportDecay; 0 means the default
 	requests  int
 }
 
-type trialTarget struct {
+type simTarget struct {
 	running int
-	queue   []trialCall
+	queue   []simCall
 	slow    float64
 }
 
-type trialCall struct {
+type simCall struct {
 	sent     time.Duration
 	instance int
 	target   int
 }
 
-type trialInstance struct {
+type simInstance struct {
 	chooser *Chooser
 	pick    Pick
 	starts  [][]time.Duration // by target, of calls in flight
-	seen    []time.Duration   // when the target's report was true
+	seen    []time.Duration   // time of the target's latest report
 	total   int               // calls in flight
 	index   map[string]int
 }
 
 // Local implements LocalView.
-func (in *trialInstance) Local(id string, _ board.Load, _ bool) Local {
+func (in *simInstance) Local(id string, _ board.Load, _ bool) Local {
 	i := in.index[id]
 	l := Local{InFlight: len(in.starts[i])}
 	for _, at := range in.starts[i] {
@@ -64,59 +64,59 @@
 	return l
 }
 
-type trialEvent struct {
+type simEvent struct {
 	at   time.Duration
 	kind int // 0 arrival, 1 end of a call, 2 report of a target
-	call trialCall
+	call simCall
 }
 
-type trialHeap []trialEvent
+type eventHeap []simEvent
 
-func (h trialHeap) Len() int           { return len(h) }
-func (h trialHeap) Less(i, j int) bool { return h[i].at < h[j].at }
-func (h trialHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
-func (h *trialHeap) Push(x any)        { *h = append(*h, x.(trialEvent)) }
-func (h *trialHeap) Pop() any {
+func (h eventHeap) Len() int           { return len(h) }
+func (h eventHeap) Less(i, j int) bool { return h[i].at < h[j].at }
+func (h eventHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+func (h *eventHeap) Push(x any)        { *h = append(*h, x.(simEvent)) }
+func (h *eventHeap) Pop() any {
 	old := *h
 	e := old[len(old)-1]
 	*h = old[:len(old)-1]
 	return e
 }
 
-type trialRun struct {
-	trial
+type simRun struct {
+	simulation
 	rand      *rand.Rand
-	events    trialHeap
-	targets   []trialTarget
-	instances []*trialInstance
+	events    eventHeap
+	targets   []simTarget
+	instances []*simInstance
 	latencies []float64
 	reported  []int // calls at each target by its last report
 	sum       int   // of reported
 }
 
-// run returns quantiles of the latency in milliseconds.
-func (tr trial) run(seed uint64) []float64 {
-	r := &trialRun{trial: tr, rand: rand.New(rand.NewPCG(seed, 3)), targets: make([]trialTarget, tr.targets), reported: make([]int, tr.targets)}
+// run returns the quantiles 0.5, 0.95 and 0.99 of the latency in milliseconds.
+func (tr simulation) run(seed uint64) []float64 {
+	r := &simRun{simulation: tr, rand: rand.New(rand.NewPCG(seed, 3)), targets: make([]simTarget, tr.targets), reported: make([]int, tr.targets)}
 	for i := range r.targets {
 		r.targets[i].slow = 1
 		if i < tr.slow {
 			r.targets[i].slow = 3
 		}
 		first := time.Duration(r.rand.Float64() * float64(tr.age))
-		heap.Push(&r.events, trialEvent{at: first, kind: 2, call: trialCall{target: i}})
+		heap.Push(&r.events, simEvent{at: first, kind: 2, call: simCall{target: i}})
 	}
 	shared := tr.newBoard()
 	for i := range tr.instances {
 		b := shared
-		if tr.riding {
+		if tr.piggyback {
 			b = tr.newBoard()
 		}
 		r.instances = append(r.instances, newTrialInstance(tr, b, uint64(i)+seed))
 	}
-	heap.Push(&r.events, trialEvent{})
+	heap.Push(&r.events, simEvent{})
 	arrived := 0
 	for len(r.latencies) < tr.requests {
-		e := heap.Pop(&r.events).(trialEvent)
+		e := heap.Pop(&r.events).(simEvent)
 		switch e.kind {
 		case 0:
 			arrived++
@@ -127,7 +127,7 @@
 			r.report(e.at, e.call.target)
 		}
 	}
-	measured := r.latencies[len(r.latencies)/5:] // after warming up
+	measured := r.latencies[len(r.latencies)/5:] // without the warm-up
 	slices.Sort(measured)
 	var out []float64
 	for _, q := range []float64{0.5, 0.95, 0.99} {
@@ -136,7 +136,7 @@
 	return out
 }
 
-func (tr trial) newBoard() *board.Board {
+func (tr simulation) newBoard() *board.Board {
 	b := board.New()
 	for i := range tr.targets {
 		id := trialID(i)
@@ -147,8 +147,8 @@
 
 func trialID(i int) string { return fmt.Sprintf("t%03d", i) }
 
-func newTrialInstance(tr trial, b *board.Board, seed uint64) *trialInstance {
-	in := &trialInstance{
+func newTrialInstance(tr simulation, b *board.Board, seed uint64) *simInstance {
+	in := &simInstance{
 		chooser: newChooser(b),
 		starts:  make([][]time.Duration, tr.targets),
 		seen:    make([]time.Duration, tr.targets),
@@ -157,8 +157,8 @@
 	for i := range tr.targets {
 		in.index[trialID(i)] = i
 	}
-	if tr.memory > 0 {
-		in.chooser.Tuning.ReportMemory = tr.memory
+	if tr.decay > 0 {
+		in.chooser.Tuning.ReportDecay = tr.decay
 	}
 	in.pick = newPick(in)
 	in.pick.Policy = tr.policy
@@ -167,24 +167,24 @@
 	return in
 }
 
-func (r *trialRun) arrive(now time.Duration) {
-	capacity := float64(r.trial.targets-r.slow) + float64(r.slow)/3
+func (r *simRun) arrive(now time.Duration) {
+	capacity := float64(r.simulation.targets-r.slow) + float64(r.slow)/3
 	rate := r.load * capacity * float64(r.slots) / r.service.Seconds()
 	next := time.Duration(r.rand.ExpFloat64() / rate * float64(time.Second))
-	heap.Push(&r.events, trialEvent{at: now + next})
+	heap.Push(&r.events, simEvent{at: now + next})
 	n := r.rand.IntN(len(r.instances))
 	in := r.instances[n]
 	in.pick.Now = start.Add(now)
 	in.pick.Turn++
-	in.pick.Mean = Mean{PerSlot: float64(r.sum) / float64(r.slots*r.trial.targets), Own: float64(in.total) / float64(r.trial.targets), Service: r.service}
+	in.pick.Mean = Mean{PerSlot: float64(r.sum) / float64(r.slots*r.simulation.targets), Own: float64(in.total) / float64(r.simulation.targets), Service: r.service}
 	choice, _ := in.chooser.Choose(in.pick)
 	t := in.index[choice.Target.ID]
 	in.total++
 	in.starts[t] = append(in.starts[t], now)
-	r.take(now, trialCall{sent: now, instance: n, target: t})
+	r.take(now, simCall{sent: now, instance: n, target: t})
 }
 
-func (r *trialRun) take(now time.Duration, c trialCall) {
+func (r *simRun) take(now time.Duration, c simCall) {
 	t := &r.targets[c.target]
 	if t.running >= r.slots {
 		t.queue = append(t.queue, c)
@@ -193,10 +193,10 @@
 	t.running++
 	sigma := math.Sqrt(math.Ln2) // coefficient of variation 1
 	took := math.Exp(sigma*r.rand.NormFloat64()-sigma*sigma/2) * r.service.Seconds() * t.slow
-	heap.Push(&r.events, trialEvent{at: now + time.Duration(took*float64(time.Second)), kind: 1, call: c})
+	heap.Push(&r.events, simEvent{at: now + time.Duration(took*float64(time.Second)), kind: 1, call: c})
 }
 
-func (r *trialRun) end(now time.Duration, c trialCall) {
+func (r *simRun) end(now time.Duration, c simCall) {
 	t := &r.targets[c.target]
 	t.running--
 	if len(t.queue) > 0 {
@@ -209,24 +209,25 @@
 	i := slices.Index(in.starts[c.target], c.sent)
 	in.starts[c.target] = slices.Delete(in.starts[c.target], i, i+1)
 	in.total--
-	if r.riding {
+	if r.piggyback {
 		in.seen[c.target] = now
 		r.put(now, in.chooser.Board, c.target)
 	}
 }
 
-// report reaches every instance at once and is sent again after the age.
-func (r *trialRun) report(now time.Duration, target int) {
+// report delivers a target's report to all instances at once and schedules the
+// next one.
+func (r *simRun) report(now time.Duration, target int) {
 	for i, in := range r.instances {
 		in.seen[target] = now
-		if r.riding || i == 0 {
+		if r.piggyback || i == 0 {
 			r.put(now, in.chooser.Board, target)
 		}
 	}
-	heap.Push(&r.events, trialEvent{at: now + r.age, kind: 2, call: trialCall{target: target}})
+	heap.Push(&r.events, simEvent{at: now + r.age, kind: 2, call: simCall{target: target}})
 }
 
-func (r *trialRun) put(now time.Duration, b *board.Board, target int) {
+func (r *simRun) put(now time.Duration, b *board.Board, target int) {
 	t := &r.targets[target]
 	outstanding := t.running + len(t.queue)
 	r.sum += outstanding - r.reported[target]
@@ -239,14 +240,14 @@
 	b.Loads.Put(id, board.Load{Report: report, At: start.Add(now)})
 }
 
-func baseTrial(policy Policy, targets int, age time.Duration) trial {
-	return trial{
+func baseTrial(policy Policy, targets int, age time.Duration) simulation {
+	return simulation{
 		policy: policy, targets: targets, instances: 8, slots: 8, service: 200 * time.Millisecond,
-		load: 0.85, age: age, riding: true, requests: 20000,
+		load: 0.85, age: age, piggyback: true, requests: 20000,
 	}
 }
 
-// TestTwoChoicesBeatsBaselines holds the reason for the default policy.
+// TestTwoChoicesBeatsBaselines shows why two choices is the default policy.
 func TestTwoChoicesBeatsBaselines(t *testing.T) {
 	for _, age := range []time.Duration{100 * time.Millisecond, time.Second} {
 		p99 := make(map[Policy]float64)
@@ -262,16 +263,16 @@
 	}
 }
 
-// Symptom: with reports of a second ago, some targets have long queues while
-// others idle, worse than by a random choice. Sequence: a report says that a
-// target has room; every instance prefers it, until its next report says that
-// it is full, and every instance avoids it. Cause: the order of two aged
-// reports, the same for all instances however little it still says.
+// Guards against herd behaviour with reports that are seconds old: a report shows
+// free capacity, all instances prefer the target until its next report shows it
+// full, and then all avoid it, so that some targets have long queues while others
+// are idle, worse than with random choice. The cause is that all instances rank
+// two old reports the same way, however little they still tell.
 func TestAgedReportsDrawNoHerd(t *testing.T) {
 	p95 := make(map[Policy]float64)
 	for _, policy := range []Policy{PolicyTwoChoices, PolicyRandom} {
 		tr := baseTrial(policy, 150, 2*time.Second)
-		tr.instances, tr.riding, tr.requests = 90, false, 60000
+		tr.instances, tr.piggyback, tr.requests = 90, false, 60000
 		p95[policy] = tr.run(1)[1]
 	}
 	if p95[PolicyTwoChoices] > p95[PolicyRandom] {
@@ -296,8 +297,8 @@
 			straggler := today
 			straggler.slow = 1
 			size := baseTrial(policy, 600, age)
-			size.instances, size.riding, size.requests = 370, false, 400000
-			for _, tr := range []trial{today, straggler, size} {
+			size.instances, size.piggyback, size.requests = 370, false, 400000
+			for _, tr := range []simulation{today, straggler, size} {
 				t.Run(fmt.Sprintf("targets=%d/slow=%d/age=%s/%s", tr.targets, tr.slow, age, policy), func(t *testing.T) {
 					t.Parallel()
 					q := tr.run(1)
@@ -308,7 +309,8 @@
 	}
 }
 
-// TestReportMemoryTable prints how fast a report should give way to the mean.
+// TestReportMemoryTable prints latencies for several values of
+// Tuning.ReportDecay.
 func TestReportMemoryTable(t *testing.T) {
 	if os.Getenv("LYNXHILL_TRIALS") == "" {
 		t.Skip("set LYNXHILL_TRIALS=1 to print the table")
@@ -317,9 +319,9 @@
 		for _, age := range []time.Duration{100 * time.Millisecond, 500 * time.Millisecond, 2 * time.Second} {
 			today := baseTrial(PolicyTwoChoices, 12, age)
 			size := baseTrial(PolicyTwoChoices, 300, age)
-			size.instances, size.riding, size.requests = 185, false, 100000
-			for _, tr := range []trial{today, size} {
-				tr.memory = memory
+			size.instances, size.piggyback, size.requests = 185, false, 100000
+			for _, tr := range []simulation{today, size} {
+				tr.decay = memory
 				t.Run(fmt.Sprintf("targets=%d/age=%s/memory=%g", tr.targets, age, memory), func(t *testing.T) {
 					t.Parallel()
 					q := tr.run(1)
