--- a/internal/route/bench_test.go
+++ b/internal/route/bench_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// BenchmarkMatch looks a path up among 400 routes, the last of its host. The name is the number of hosts.
+// BenchmarkMatch looks up a path that matches the last route of its host, among
+// 400 routes. The name of a case is the number of hosts.
 func BenchmarkMatch(b *testing.B) {
 	const routes = 400
 	for _, hosts := range []int{1, 40} {
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -1,7 +1,7 @@
-// Package route holds what operators declare about plain HTTP requests: which
-// host and path lead to which service, under which limits, with which stages
-// before the last call, and which organisations' keys open them. A Table is one
-// version of all of it. It is pure data: it does no I/O and reads no clock.
+// Package route holds the configuration of plain HTTP requests that operators
+// declare: the service for a host and path, the limits, the stages before the
+// last call, and the API keys of organisations. A Table is one version of the
+// whole configuration. The package does no I/O and reads no clock.
 package route
 
 import (
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Kind says how often a request of a route may run.
+// Kind determines whether a request of a route may run more than once.
 type Kind int
 
 // Kinds of routes.
@@ -20,7 +20,7 @@
 	Streaming                 // a stream of events; at most once unless Route.Resumable
 )
 
-// String returns the kind as it stands in logs.
+// String returns the kind as it is written to logs.
 func (k Kind) String() string {
 	switch k {
 	case Idempotent:
@@ -32,36 +32,36 @@
 	}
 }
 
-// Route leads requests of a host and path to a service.
+// Route maps requests of a host and path to one or more services.
 type Route struct {
 	Name          string
 	Host          string
 	PathPrefix    string // begins and ends with "/"
 	Kind          Kind
-	Timeout       time.Duration // longest time that a request is kept waiting; 0 = not bounded
-	TargetLatency time.Duration // within which an answer (the first event of a stream) is on time
-	FirstWait     time.Duration // callers leave if nothing of a stream has come by then; 0 = not said
-	EventGap      time.Duration // longest pause between events of a stream that is on time
+	Timeout       time.Duration // longest time that a caller waits for an answer; 0 = unlimited
+	TargetLatency time.Duration // latency objective of an answer, or of the first event of a stream
+	FirstWait     time.Duration // time after which callers abandon a stream without a first event; 0 = unknown
+	EventGap      time.Duration // objective for the longest pause between events of a stream
 	Priority      int           // 0 is the most urgent
 	Services      []WeightedService
-	MaxAttempts   int // targets that one request may be sent to
+	MaxAttempts   int // number of targets that one request may be sent to
 	Stages        []Stage
 	Anonymous     bool // needs no key
 	Affinity      bool // requests carry prompt parts, see relay.Prompt
-	Resumable     bool // a stream may go on at another target
+	Resumable     bool // a stream may be resumed at another target
 }
 
-// WeightedService is a service with its share of a route's requests.
+// WeightedService is a service with its weight among the services of a route.
 type WeightedService struct {
 	Name   string
 	Weight int
 }
 
-// Stage is work to be done by a service before the last call.
+// Stage is a step that a service performs before the last call.
 type Stage struct {
 	Service     string
-	After       []int // stages whose results it needs, by number
-	ResultBytes int64 // about the size of one result
+	After       []int // indexes of the stages whose results it needs
+	ResultBytes int64 // approximate size of one result
 }
 
 // Repeatable reports whether a request of the route may run more than once.
@@ -69,7 +69,8 @@
 	return r.Kind == Idempotent || r.Kind == Streaming && r.Resumable
 }
 
-// Pick chooses the service for a request by weight; u is uniform in [0, 1).
+// Pick chooses the service for a request by weight. u is a random number,
+// uniform in [0, 1). Pick returns "" if the route has no service.
 func (r *Route) Pick(u float64) string {
 	total := 0
 	for _, s := range r.Services {
@@ -87,43 +88,43 @@
 	return r.Services[0].Name
 }
 
-// Service is a group of equal targets.
+// Service is a group of interchangeable targets.
 type Service struct {
 	Name            string
 	HealthPath      string
-	ConnectionLimit int // of one target, from all instances together
+	ConnectionLimit int // connections to one target from all instances together
 	// ColdTime is how long a target is cold after its start; 0 = targets of the
-	// service never are. ColdRate is how many requests a second it bears then,
-	// from all instances together; 0 = it is not bounded.
+	// service are never cold. ColdRate is the number of requests per second that
+	// a cold target can handle from all instances together; 0 = unlimited.
 	ColdTime time.Duration
 	ColdRate float64
-	Engine   *Engine // of model engines, else nil
-	Pieces   *Pieces // of stage services, else nil
+	Engine   *Engine // set for model engines, else nil
+	Pieces   *Pieces // set for stage services, else nil
 }
 
-// Engine is what a model engine of a service can do.
+// Engine describes the capacity and abilities of one model engine of a service.
 type Engine struct {
-	Slots         int   // requests run at once
-	MemoryTokens  int64 // for running requests and kept prompt parts
-	EventTokens   int   // tokens in one event of a stream
-	MoveLifetime  time.Duration
-	TokenBytes    int64 // memory of one token
+	Slots         int           // maximum number of requests that run at once
+	MemoryTokens  int64         // memory in tokens, shared by running requests and cached prompt parts
+	EventTokens   int           // tokens in one event of a stream
+	MoveLifetime  time.Duration // lifetime of the handle of a move
+	TokenBytes    int64         // memory of one token, in bytes
 	MovesAllowed  bool
 	BackupAllowed bool
 }
 
-// Pieces is what one target of a stage service can do.
+// Pieces describes the capacity of one target of a stage service.
 type Pieces struct {
-	Slots          int // calls in progress at once
-	Queue          int // calls that may wait
-	Batch          int // pieces of one call
-	CallTime       time.Duration
-	ItemTime       time.Duration // of one piece, about
-	ResultRoom     int64         // bytes
-	ResultLifetime time.Duration // of a result that nobody frees, after its call
+	Slots          int           // maximum number of calls that run at once
+	Queue          int           // maximum number of calls that wait
+	Batch          int           // maximum number of pieces in one call
+	CallTime       time.Duration // approximate fixed time of a call
+	ItemTime       time.Duration // approximate time of one piece
+	ResultRoom     int64         // memory for results, in bytes
+	ResultLifetime time.Duration // how long after its call a result expires that is not freed
 }
 
-// Limits bound what a client may send and how long it may take.
+// Limits bounds what a client may send and how long it may take.
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int64
@@ -131,14 +132,14 @@
 	IdleTimeout    time.Duration
 }
 
-// Organisation is a customer with its keys.
+// Organisation is an organisation with its API keys.
 type Organisation struct {
 	Name     string
 	Keys     []string
-	Priority int // replaces the route's; negative = none
+	Priority int // overrides the priority of the route; negative = no override
 }
 
-// Table is one version of the declared routes. It never changes once built.
+// Table is one version of the declared routes. It is immutable once built.
 type Table struct {
 	Version       int64
 	Routes        []Route
@@ -150,8 +151,8 @@
 	byKey  map[string]*Organisation
 }
 
-// Build fills the table's indexes. It is called once, before the table is
-// shared.
+// Build builds the table's indexes and returns the table. It must be called once,
+// before the table is shared between goroutines.
 func (t *Table) Build() *Table {
 	t.byHost = make(map[string][]*Route)
 	for i := range t.Routes {
@@ -170,8 +171,8 @@
 	return t
 }
 
-// Match returns the route of the host with the longest prefix of the path, or
-// nil. A port in the host is ignored.
+// Match returns the route of the host with the longest matching path prefix, or
+// nil if there is none. A port in the host is ignored.
 func (t *Table) Match(host, path string) *Route {
 	host = strings.ToLower(host)
 	if at := strings.LastIndexByte(host, ':'); at >= 0 && !strings.HasSuffix(host, "]") {
@@ -185,14 +186,15 @@
 	return nil
 }
 
-// Keyed reports whether requests need a key at all.
+// Keyed reports whether any organisation is declared. If none is, requests need
+// no key.
 func (t *Table) Keyed() bool { return len(t.Organisations) > 0 }
 
 // Holder returns the organisation that holds the key, or nil.
 func (t *Table) Holder(key string) *Organisation { return t.byKey[key] }
 
-// Priority returns the rank of a request of the route by the organisation,
-// which may be nil.
+// Priority returns the priority of a request of the route by the organisation,
+// which may be nil: the organisation's priority if it has one, else the route's.
 func Priority(r *Route, o *Organisation) int {
 	if o != nil && o.Priority >= 0 {
 		return o.Priority
