--- a/internal/bootclock/bootclock.go
+++ b/internal/bootclock/bootclock.go
@@ -1,5 +1,5 @@
-// Package bootclock reads the clock of the machine that goes on while the
-// machine is suspended.
+// Package bootclock reads the host's boot-time clock, which keeps running while
+// the host is suspended.
 package bootclock
 
 import (
@@ -8,17 +8,19 @@
 	"golang.org/x/sys/unix"
 )
 
-// Clock implements clock.Boot by CLOCK_BOOTTIME. The zero value is ready.
+// Clock implements clock.Boot with CLOCK_BOOTTIME. The zero value is ready to
+// use.
 type Clock struct{}
 
-// SinceBoot returns the time since the machine was started. Go's own monotonic
-// clock stands still while the machine is suspended, so an instance that was
-// suspended for an hour would take its configuration for fresh.
+// SinceBoot returns the time since the host booted. Go's monotonic clock stops
+// while the host is suspended, so with it an instance that was suspended for an
+// hour would consider its configuration up to date. SinceBoot panics if the
+// clock cannot be read.
 func (Clock) SinceBoot() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
-		// Every Linux since 2.6.39 has the clock. Without it no lease could be
-		// trusted, so the instance must not go on.
+		// Linux has had this clock since 2.6.39. Without it leases cannot be
+		// trusted, so the instance must not continue.
 		panic("bootclock: CLOCK_BOOTTIME: " + err.Error())
 	}
 	return time.Duration(ts.Nano())
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,6 +1,6 @@
-// Package clock names the clocks that the decision packages are given. None
-// of them reads a global clock, so that they run the same in real time and in
-// virtual time.
+// Package clock defines the clocks that are injected into the packages that
+// make decisions. None of those packages reads a global clock, so that they
+// behave the same in real time and in virtual time.
 package clock
 
 import (
@@ -9,19 +9,20 @@
 	"github.com/coder/quartz"
 )
 
-// Clock tells the time and makes timers. In production quartz.NewReal(); in
-// tests a quartz mock, or the real one inside testing/synctest.
+// Clock returns the time and creates timers. In production it is
+// quartz.NewReal(); in tests it is a quartz mock, or the real clock inside
+// testing/synctest.
 type Clock = quartz.Clock
 
-// Boot tells the time since some fixed moment, counting time in which the
-// process or the machine was suspended. Go's monotonic clock does not count a
-// suspended machine, so a lease measured with it would seem to last on after
-// the machine woke.
+// Boot returns the time since a fixed moment, including time in which the
+// process or the host was suspended. Go's monotonic clock stops while the host
+// is suspended, so a lease measured with it would appear to be still valid after
+// the host resumes.
 type Boot interface {
 	SinceBoot() time.Duration
 }
 
-// BootFunc makes a function a Boot clock.
+// BootFunc is an adapter that lets a function serve as a Boot clock.
 type BootFunc func() time.Duration
 
 // SinceBoot implements Boot.
--- a/internal/sleep/sleep.go
+++ b/internal/sleep/sleep.go
@@ -1,4 +1,4 @@
-// Package sleep waits in real time, for code that is not given a clock.
+// Package sleep waits in real time, for code that has no injected clock.
 package sleep
 
 import (
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// For waits for d, or less if ctx ends first: its error then.
+// For waits for the duration d and returns nil. If ctx ends first, For returns
+// its error at once. A duration of 0 or less does not wait.
 func For(ctx context.Context, d time.Duration) error {
 	if d <= 0 {
 		return ctx.Err()
--- a/internal/sleep/sleep_test.go
+++ b/internal/sleep/sleep_test.go
@@ -15,7 +15,7 @@
 			t.Errorf("%v after %v", err, time.Since(began))
 		}
 		if err := For(t.Context(), -time.Second); err != nil || time.Since(began) != 3*time.Second {
-			t.Errorf("no time: %v after %v", err, time.Since(began))
+			t.Errorf("negative duration: %v after %v", err, time.Since(began))
 		}
 	})
 }
@@ -29,7 +29,7 @@
 			t.Errorf("%v after %v", err, time.Since(began))
 		}
 		if err := For(ctx, 0); !errors.Is(err, context.DeadlineExceeded) {
-			t.Errorf("no time, after the end: %v", err)
+			t.Errorf("zero duration, after the end of the context: %v", err)
 		}
 	})
 }
