--- a/internal/pipeline/attempt.go
+++ b/internal/pipeline/attempt.go
@@ -12,54 +12,57 @@
 	"lynxhill.example/lynxhill/internal/wire/targetapi"
 )
 
-// aliveTimeout bounds the question whether a target died. A dead process
-// refuses at once; only a dead machine takes the whole time.
+// aliveTimeout is the time limit of the check whether a target has crashed. The
+// host of a crashed process refuses connections at once; only a host that is down
+// uses the whole time.
 const aliveTimeout = 250 * time.Millisecond
 
-// errLeft ends an attempt whose stage no longer listens.
-var errLeft = errors.New("the stage has ended")
+// errStageEnded is the cause that cancels attempts when their stage has ended.
+var errStageEnded = errors.New("the stage has ended")
 
-// errOutrun ends an attempt because another one began first.
-var errOutrun = errors.New("another attempt began first")
+// errSuperseded is the cause that cancels an attempt because another one has
+// become the primary attempt.
+var errSuperseded = errors.New("another attempt began first")
 
-// attempt is one call of a target for a stage. Its goroutine only sends
-// signals; all decisions are the stage's.
+// attempt is one call of a target for a stage. Its goroutine only sends signals;
+// the stage makes all decisions.
 type attempt struct {
 	s      *stageRun
 	id     string
 	want   admission.Want
-	resume string // the part of the answer that came before this attempt
-	offset int    // where in the answer the next frame must begin
+	resume string // part of the answer that was received before this attempt
+	offset int    // expected offset of the next frame in the answer
 	ctx    context.Context
 	cancel context.CancelCauseFunc
 
 	// Written by the stage.
-	choice    routing.Choice
-	slot      admission.Slot
-	usual     admission.Usual
-	pace      pace
-	begun     time.Time // when it was dispatched
-	ended     time.Time
-	hedge     bool
-	move      bool // takes over from the owner with its first frame
-	started   bool // the target is chosen
-	open      bool // not yet ended
-	delivered bool // a frame of it was taken
-	lost      bool // another attempt won; whatever it still reports is ignored
-	// connectionFailed: it ended by a fault that may be the connection's.
+	choice     routing.Choice
+	slot       admission.Slot
+	usual      admission.Usual
+	pace       pace
+	begun      time.Time // time of the dispatch
+	ended      time.Time
+	hedge      bool
+	replaces   bool // replaces the primary attempt with its first frame
+	started    bool // the target is chosen
+	open       bool // not yet ended
+	delivered  bool // at least one of its frames was accepted
+	superseded bool // another attempt won; whatever it still reports is ignored
+	// connectionFailed is set if the attempt failed in a way that may be the
+	// fault of the connection and not of the target.
 	connectionFailed bool
-	notRun           bool    // proven
-	cost             float64 // as the target said, 0 if it did not
+	notRun           bool    // proven not to have run
+	cost             float64 // as reported by the target, 0 if not reported
 
 	// Written by the attempt's goroutine.
 	firstByte time.Duration
 	lastFrame time.Time
 	gap       time.Duration // longest wait between two frames
-	waited    time.Duration // for frames after the first
-	written   int           // tokens of those frames
+	waited    time.Duration // total wait for the frames after the first
+	written   int           // number of tokens in those frames
 }
 
-// signalKind says what an attempt reports.
+// signalKind is the type of event that a signal reports.
 type signalKind int
 
 const (
@@ -68,7 +71,7 @@
 	signalEnded
 )
 
-// signal is what an attempt tells its stage.
+// signal is an event that an attempt reports to its stage.
 type signal struct {
 	kind     signalKind
 	attempt  *attempt
@@ -76,34 +79,37 @@
 	timeouts admission.Timeouts
 	slot     admission.Slot
 	frame    targetapi.Frame
-	waited   time.Duration // for frames after the first, this one included
+	waited   time.Duration // total wait for the frames after the first, including this one
 	result   stagecall.Result
 	err      error
 }
 
-// acquireError says that no slot was had.
+// acquireError is the error of an attempt that did not get a slot.
 type acquireError struct{ err error }
 
 func (e *acquireError) Error() string { return e.err.Error() }
 func (e *acquireError) Unwrap() error { return e.err }
 
-// send reports to the stage; false if it no longer listens.
+// send sends a signal to the stage. It returns false if the stage no longer reads
+// signals.
 func (a *attempt) send(sig signal) bool {
 	sig.attempt = a
 	select {
 	case a.s.signals <- sig:
 		return true
-	case <-a.s.left:
+	case <-a.s.closed:
 		return false
 	}
 }
 
-// run is the attempt's goroutine.
+// run performs the attempt and reports its end. It is the body of the attempt's
+// goroutine.
 func (a *attempt) run() {
 	result, err := a.perform()
 	a.send(signal{kind: signalEnded, result: result, err: err})
 }
 
+// perform acquires a slot and makes the call.
 func (a *attempt) perform() (stagecall.Result, error) {
 	opts := &a.s.x.r.opts
 	slot, err := opts.Gate.Acquire(a.ctx, a.want)
@@ -114,15 +120,15 @@
 	timeouts := a.timeouts(choice)
 	if !a.send(signal{kind: signalStarted, choice: choice, timeouts: timeouts, slot: slot}) || !a.s.beginDispatch() {
 		slot.Done(admission.Result{Cancelled: true})
-		return stagecall.Result{}, &acquireError{errLeft}
+		return stagecall.Result{}, &acquireError{errStageEnded}
 	}
 	return a.call(slot, choice, timeouts)
 }
 
-// timeouts returns the gate's, or none for a stage that is not idempotent: it
-// could not be repeated anyway, so cutting a slow call short would only turn a
-// late answer into an unknown one. Pings still find a dead connection, and the
-// deadline ends the rest.
+// timeouts returns the gate's timeouts, or none for a stage that is not
+// idempotent. Such a stage cannot be retried, so a timeout would only turn a late
+// answer into an unknown outcome. Pings still detect a dead connection, and the
+// deadline bounds all other calls.
 func (a *attempt) timeouts(choice routing.Choice) admission.Timeouts {
 	if !a.s.stage.Idempotent {
 		return admission.Timeouts{}
@@ -130,15 +136,17 @@
 	return a.s.x.r.opts.Gate.Timeouts(choice, a.want.Query)
 }
 
-// newConnection: a kept connection may have gone silent unnoticed. A repeat must
-// not meet the same silence, and a call that cannot be repeated must not meet
-// any: it would end as "may have run" though the target never heard of it. One
-// round trip more is the price.
+// newConnection reports whether the call must use a new connection. A pooled
+// connection may have gone silent without notice. A retry must not use the same
+// silent connection, and a call that cannot be retried must not use any: it would
+// end as "may have run" although the target never received it. The cost is one
+// more round trip.
 func (a *attempt) newConnection() bool {
 	return a.want.Repeat || !a.s.stage.Idempotent
 }
 
-// call makes the call, settles what it proves, and gives the slot back.
+// call makes the call, records whether it is proven not to have run, and releases
+// the slot.
 func (a *attempt) call(slot admission.Slot, choice routing.Choice, timeouts admission.Timeouts) (stagecall.Result, error) {
 	x := a.s.x
 	target := stagecall.Target{ID: choice.Target.ID, Address: choice.Target.Address}
@@ -149,12 +157,12 @@
 		Progress:      timeouts.Progress,
 		NewConnection: a.newConnection(),
 	}, func(frame targetapi.Frame) error { return a.onFrame(begun, frame) })
-	died := err != nil && a.targetDied(target, err)
+	crashed := err != nil && a.targetCrashed(target, err)
 	endSuspect()
 	if err != nil && stagecall.FailureOf(err).NotRun {
 		a.s.endNotRun()
 	}
-	done := a.slotResult(x.now().Sub(begun), err, died)
+	done := a.slotResult(x.now().Sub(begun), err, crashed)
 	if err == nil && a.resume == "" {
 		done.Tokens = result.Tokens
 	}
@@ -162,20 +170,21 @@
 	return result, err
 }
 
-// onFrame passes a frame on after checking that it is this attempt's own and
-// the next one. The caller interface promises both; a mistake below it must
-// not reach a caller as another request's text.
+// onFrame sends a frame to the stage after checking that it belongs to this
+// attempt and has the expected offset. stagecall.Caller guarantees both; the check
+// ensures that a defect in an implementation cannot deliver the text of another
+// request to a caller.
 func (a *attempt) onFrame(begun time.Time, frame targetapi.Frame) error {
 	if frame.RequestID != a.s.x.req.ID || frame.AttemptID != a.id {
-		return protocolError("frame of attempt %q", frame.AttemptID)
+		return protocolError("received a frame of attempt %q", frame.AttemptID)
 	}
 	if frame.Offset != a.offset {
-		return protocolError("frame at %d, expected %d", frame.Offset, a.offset)
+		return protocolError("received a frame at offset %d, expected %d", frame.Offset, a.offset)
 	}
 	a.noteArrival(begun, frame.Tokens)
 	a.offset += len(frame.Text)
 	if !a.send(signal{kind: signalFrame, frame: frame, waited: a.waited}) {
-		return cancelledError(errLeft)
+		return cancelledError(errStageEnded)
 	}
 	if err := a.ctx.Err(); err != nil {
 		return cancelledError(err)
@@ -184,7 +193,8 @@
 	return nil
 }
 
-// noteArrival measures the target, without the time that the caller takes.
+// noteArrival updates the measurements of the target. They exclude the time that
+// the receiver takes for a frame.
 func (a *attempt) noteArrival(begun time.Time, tokens int) {
 	now := a.s.x.now()
 	if a.firstByte == 0 {
@@ -205,26 +215,28 @@
 	return &stagecall.Failure{Class: stagecall.ClassProtocol, Err: fmt.Errorf(format, args...)}
 }
 
-// targetDied asks whether the target died under the request. It asks before
-// the next attempt, so that a request that crashes targets is known as such
-// before it reaches a further one.
-func (a *attempt) targetDied(target stagecall.Target, err error) bool {
+// targetCrashed checks whether the target crashed while it ran the request. The check
+// is made before the next attempt, so that a request that crashes targets is
+// identified before it reaches another one.
+func (a *attempt) targetCrashed(target stagecall.Target, err error) bool {
 	if stagecall.FailureOf(err).Class != stagecall.ClassBroken {
 		return false
 	}
 	ctx := newDeadlineContext(context.WithoutCancel(a.ctx), a.s.x.r.opts.Clock, a.s.x.now().Add(aliveTimeout))
-	defer ctx.stop()
+	defer ctx.release()
 	return a.s.x.r.opts.Crash.Broke(ctx, a.s.x.fingerprint, target)
 }
 
-func (a *attempt) slotResult(duration time.Duration, err error, died bool) admission.Result {
+// slotResult returns what the gate is told about the target when the slot is
+// released.
+func (a *attempt) slotResult(duration time.Duration, err error, crashed bool) admission.Result {
 	result := admission.Result{Duration: duration, FirstByte: a.firstByte, Gap: a.gap, OK: err == nil}
 	if a.written > 0 {
 		result.PerToken = a.waited / time.Duration(a.written)
 	}
 	if err == nil {
 		if !a.s.streams {
-			result.FirstByte = duration // a whole reply comes at once
+			result.FirstByte = duration // a reply that is not a stream arrives at once
 		}
 		return result
 	}
@@ -239,14 +251,14 @@
 	case stagecall.ClassCancelled, stagecall.ClassBadInput:
 		result.Cancelled = true
 	}
-	if died || a.ctx.Err() != nil {
+	if crashed || a.ctx.Err() != nil {
 		result.Cancelled = true
-		result.Outrun = errors.Is(context.Cause(a.ctx), errOutrun)
+		result.Outrun = errors.Is(context.Cause(a.ctx), errSuperseded)
 	}
 	return result
 }
 
-// request builds the call's message.
+// request returns the message of the call.
 func (a *attempt) request(choice routing.Choice) targetapi.RunRequest {
 	s, x := a.s, a.s.x
 	return targetapi.RunRequest{
--- a/internal/pipeline/bench_test.go
+++ b/internal/pipeline/bench_test.go
@@ -14,7 +14,7 @@
 	"lynxhill.example/lynxhill/internal/wire/targetapi"
 )
 
-// instantCaller streams a fixed number of frames without waiting.
+// instantCaller streams a fixed number of frames without delay.
 type instantCaller struct {
 	*memtarget.Fleet
 	frames int
@@ -56,6 +56,7 @@
 	}
 }
 
-// The difference of the two, divided by 1000, is the cost of relaying a frame.
+// The difference between the two benchmarks, divided by 1000, is the cost of
+// relaying a frame.
 func BenchmarkRunTwoStages1Frame(b *testing.B)     { benchmarkRun(b, 1) }
 func BenchmarkRunTwoStages1001Frames(b *testing.B) { benchmarkRun(b, 1001) }
--- a/internal/pipeline/budget.go
+++ b/internal/pipeline/budget.go
@@ -8,20 +8,25 @@
 )
 
 const (
-	// refuseQuantile: a request is refused early if even the sum of these
-	// quantiles of its stages exceeds what remains. A lower one refuses less.
+	// refuseQuantile is the quantile of stage times for early refusal: a request
+	// is refused if the sum of this quantile over its stages exceeds the remaining
+	// time. A lower quantile refuses fewer requests.
 	refuseQuantile = 0.25
-	// reserveQuantile is kept for each later stage.
+	// reserveQuantile is the quantile of stage times that is reserved for each
+	// later stage.
 	reserveQuantile = 0.5
-	// splitQuantile weighs the stages when time is too short for all reserves.
+	// splitQuantile is the quantile of stage times that determines the division
+	// of the time among the stages.
 	splitQuantile = 0.9
-	// probeOneIn lets one in so many hopeless requests through. Stages are
-	// measured by the requests that run: if all were refused after a slow
-	// minute, nothing would ever show that the targets are fast again.
+	// probeOneIn is the number of requests to be refused early of which one, on
+	// average, is run nevertheless. Stage times are measured only on requests that
+	// run: if all were refused after a slow minute, nothing would show that the
+	// targets have become fast again.
 	probeOneIn = 16
 )
 
-// quantile returns a stage's quantile over its providers by their weights.
+// quantile returns the quantile of a stage's time, averaged over its providers by
+// their weights. It returns false if no provider with a weight has been measured.
 func (r *Runner) quantile(stage profile.Stage, q float64) (time.Duration, bool) {
 	var sum, weights float64
 	for _, provider := range stage.Providers {
@@ -38,11 +43,11 @@
 	return time.Duration(sum / weights), true
 }
 
-// refuseEarly refuses a request whose stages from i on would not finish in
-// what remains, as long as nothing was dispatched. Stages that are not yet
-// measured count as instant.
+// refuseEarly returns an error if the stages from i on would not finish in the
+// remaining time and nothing has been dispatched yet. Stages that have not been
+// measured count as 0.
 func (x *execution) refuseEarly(i int) error {
-	if x.dispatches.any() {
+	if x.dispatches.mayHaveRun() {
 		return nil
 	}
 	var need time.Duration
@@ -54,23 +59,26 @@
 		return nil
 	}
 	x.r.opts.Metrics.Counter(metricEarlyRefusals).Add(1)
-	err := errkind.New(errkind.DeadlineUnreachable, "the stages need about %v", need.Round(time.Millisecond))
+	err := errkind.New(errkind.DeadlineUnreachable, "the remaining stages need about %v, which is more than the time left", need.Round(time.Millisecond))
 	return errkind.WithRetryAfter(err, x.r.jitter(retryAfter))
 }
 
-// stageDeadline is when stage i should end so that the later stages keep what
-// they usually need. It orders queues; the request's own deadline cuts.
+// stageDeadline returns the time by which stage i should end so that the later
+// stages have the time that they usually need. It only determines the order in
+// queues; requests are ended by their own deadline.
 func (x *execution) stageDeadline(i int) time.Time {
 	stages := x.prof.Profile.Stages[i:]
 	remaining := x.remaining()
 	reserve, measured := x.reserve(stages[1:])
-	part := time.Duration(float64(remaining) * x.part(stages))
+	allotted := time.Duration(float64(remaining) * x.fraction(stages))
 	if !measured {
-		return x.now().Add(part)
+		return x.now().Add(allotted)
 	}
-	return x.now().Add(max(part, remaining-reserve))
+	return x.now().Add(max(allotted, remaining-reserve))
 }
 
+// reserve returns the time to reserve for the later stages. measured is false if
+// any of them has not been measured.
 func (x *execution) reserve(later []profile.Stage) (sum time.Duration, measured bool) {
 	for _, stage := range later {
 		d, ok := x.r.quantile(stage, reserveQuantile)
@@ -82,21 +90,22 @@
 	return sum, true
 }
 
-// part returns the first stage's part of the time for all the stages: by their
-// measured quantiles, or by the shares of the profile until all are measured.
-func (x *execution) part(stages []profile.Stage) float64 {
+// fraction returns the first stage's fraction of the time for all given stages. It
+// is based on the measured quantiles, or on the shares of the profile until all
+// stages have been measured.
+func (x *execution) fraction(stages []profile.Stage) float64 {
 	weights := make([]float64, len(stages))
 	for i, stage := range stages {
 		d, ok := x.r.quantile(stage, splitQuantile)
 		if !ok {
-			return sharePart(stages)
+			return fractionByShares(stages)
 		}
 		weights[i] = float64(d)
 	}
-	return firstPart(weights)
+	return firstFraction(weights)
 }
 
-func sharePart(stages []profile.Stage) float64 {
+func fractionByShares(stages []profile.Stage) float64 {
 	weights := make([]float64, len(stages))
 	for i, stage := range stages {
 		weights[i] = stage.Share
@@ -104,10 +113,10 @@
 			weights[i] = 1 / float64(len(stages))
 		}
 	}
-	return firstPart(weights)
+	return firstFraction(weights)
 }
 
-func firstPart(weights []float64) float64 {
+func firstFraction(weights []float64) float64 {
 	var sum float64
 	for _, w := range weights {
 		sum += w
--- a/internal/pipeline/claimed.go
+++ b/internal/pipeline/claimed.go
@@ -9,25 +9,26 @@
 	"lynxhill.example/lynxhill/internal/outcome"
 )
 
-// claimTries bounds how often a claim is asked for: a second time when the
-// holder says that its request was not run, for then the claim is free.
-const claimTries = 2
+// maxClaimRequests is the maximum number of times that a claim is requested. The
+// second request is made when the holder reports that its request was not run,
+// because the claim is then free.
+const maxClaimRequests = 2
 
-// claimGrace is how long a dispatched call that may not be repeated goes on past
-// the deadline, for the record only. A target that answers a moment late has done
-// its work; cut off at the deadline, every resend would be told "may have run"
-// for the whole retention of the claim. It must stay below the grace with which
-// an instance stops.
+// claimGrace is how long after the deadline a dispatched call that is not
+// idempotent continues, only to record its result. If a target that answers
+// slightly late were cut off at the deadline, every resend would get "may have
+// run" for the whole retention period of the claim, although the work was done.
+// claimGrace must be shorter than the grace period of a stopping instance.
 const claimGrace = 3 * time.Second
 
-// runClaimed runs a stage that is not idempotent: under a claim, so that of
-// all requests with the key one dispatches it.
+// runClaimed runs a stage that is not idempotent. It requests a claim first, so
+// that only one of the requests with the same key dispatches the stage.
 func (s *stageRun) runClaimed() (json.RawMessage, error) {
 	if s.x.r.opts.Claims == nil {
-		return nil, errkind.New(errkind.Internal, "no claims for stage %s", s.stage.Name)
+		return nil, errkind.New(errkind.Internal, "no claim store is configured, but stage %s is not idempotent", s.stage.Name)
 	}
 	for try := 1; ; try++ {
-		answer, err := s.askClaim()
+		answer, err := s.requestClaim()
 		if err != nil {
 			return nil, err
 		}
@@ -35,14 +36,14 @@
 			s.claim = answer.Claim
 			return s.runAttempts()
 		}
-		output, again, err := s.recorded(answer)
-		if !again || try == claimTries {
+		output, again, err := s.fromRecord(answer)
+		if !again || try == maxClaimRequests {
 			return output, err
 		}
 	}
 }
 
-func (s *stageRun) askClaim() (claim.Answer, error) {
+func (s *stageRun) requestClaim() (claim.Answer, error) {
 	answer, err := s.x.r.opts.Claims.Claim(s.x.ctx, claim.Request{
 		Key:      claim.Key{Organisation: s.x.req.Organisation, Key: s.x.req.Key, Stage: s.stage.Name},
 		BodyHash: s.x.bodyHash,
@@ -52,21 +53,21 @@
 	if err != nil {
 		return claim.Answer{}, err
 	}
-	// What is recorded stands also when the deadline has passed meanwhile: an
+	// A recorded result is used even if the deadline has passed meanwhile: an
 	// earlier request with the key may have run.
-	if answer.State == claim.Granted && s.x.over() {
+	if answer.State == claim.Granted && s.x.ended() {
 		answer.Claim.Release()
 		return claim.Answer{}, s.endOfContext()
 	}
 	return answer, nil
 }
 
-// recorded answers from what another request with the key has done. again says
-// that the claim may be free now.
-func (s *stageRun) recorded(answer claim.Answer) (output json.RawMessage, again bool, err error) {
+// fromRecord answers with the recorded result of another request with the same
+// key. again reports that the claim may be free now.
+func (s *stageRun) fromRecord(answer claim.Answer) (output json.RawMessage, again bool, err error) {
 	if answer.State == claim.Completed && answer.HasResult {
 		s.x.dispatches.begin()
-		return answer.Result, false, s.passRecorded(answer.Result)
+		return answer.Result, false, s.deliverIfLast(answer.Result)
 	}
 	record, found := s.askHolder(answer.Holder)
 	if !found && s.x.ctx.Err() != nil {
@@ -78,15 +79,15 @@
 	if record.Err == nil {
 		s.x.repeated = true
 		s.x.r.opts.Metrics.Counter(metricRepeated).Add(1)
-		return record.Output, false, s.passWhole(record.Output)
+		return record.Output, false, s.deliverWhole(record.Output)
 	}
 	err = record.Err.Err()
 	return nil, errkind.Of(err).RunState() == errkind.NotRun, err
 }
 
 // askHolder asks the instance that holds the claim for the outcome of the whole
-// request. This instance is not asked: its record of the key is the present
-// request, and that would wait for itself.
+// request. This instance does not ask itself: its record of the key is the
+// present request, which would wait for itself.
 func (s *stageRun) askHolder(holder string) (outcome.Record, bool) {
 	if holder == "" || holder == s.x.r.opts.Self || s.x.r.opts.Remote == nil {
 		return outcome.Record{}, false
@@ -96,18 +97,18 @@
 	return record, found && err == nil
 }
 
-// passRecorded delivers a recorded output of a stage that streams to the
-// caller, if it is the last one's.
-func (s *stageRun) passRecorded(output json.RawMessage) error {
+// deliverIfLast delivers the recorded output of a stage to the caller if the
+// stage is the last one.
+func (s *stageRun) deliverIfLast(output json.RawMessage) error {
 	if !s.last {
 		return nil
 	}
-	return s.passWhole(output)
+	return s.deliverWhole(output)
 }
 
-// passWhole delivers a whole recorded answer as one frame, if the profile's
-// answer is a stream.
-func (s *stageRun) passWhole(output json.RawMessage) error {
+// deliverWhole delivers a recorded answer as a single frame if the answer of the
+// profile is a stream.
+func (s *stageRun) deliverWhole(output json.RawMessage) error {
 	if !s.x.answerStreams() {
 		return nil
 	}
@@ -124,8 +125,9 @@
 	return nil
 }
 
-// detach lets a claimed attempt that was dispatched go on without its caller,
-// so that a resend gets its answer. Anything else is cancelled.
+// detach marks the stage to continue without its caller if it has a claim and
+// an attempt that was dispatched, so that a resend gets the answer. All other
+// work is cancelled.
 func (s *stageRun) detach() {
 	if s.claim == nil || s.openAttempts() == 0 {
 		return
@@ -133,23 +135,23 @@
 	s.detached = s.own.close()
 }
 
-// finishInBackground hands a detached stage to a goroutine of its own. The
-// stage's fields are that goroutine's from here on.
+// finishInBackground starts a goroutine that completes a detached stage. From
+// then on only that goroutine may access the stage's fields.
 func (s *stageRun) finishInBackground() {
-	s.x.work.hold()
+	s.x.work.retain()
 	s.x.r.background.Add(1)
 	go s.drain()
 }
 
-// drain waits for the claimed attempt; it ends claimGrace after the deadline at
-// the latest.
+// drain waits for the claimed attempt, which ends claimGrace after the deadline
+// at the latest.
 func (s *stageRun) drain() {
 	defer s.x.r.background.Done()
-	defer s.x.work.stop()
+	defer s.x.work.release()
 	for s.openAttempts() > 0 {
 		sig := <-s.signals
 		_, _, _ = s.handle(sig)
 	}
-	s.leave()
+	s.cancelAttempts()
 	s.releaseIfNotRun()
 }
--- a/internal/pipeline/deadline.go
+++ b/internal/pipeline/deadline.go
@@ -9,18 +9,18 @@
 	"lynxhill.example/lynxhill/internal/clock"
 )
 
-// errDeadline is the cause with which a context ends at its deadline.
+// errDeadline is the cause of a context that has ended at its deadline.
 var errDeadline = errors.New("deadline passed")
 
-// deadlineContext is a context that ends at a deadline of the given clock. The
-// ones of package context read the global clock.
+// deadlineContext is a context that ends at a deadline on an injected clock;
+// package context uses the global clock.
 type deadlineContext struct {
 	context.Context
 	cancel context.CancelCauseFunc
 	stopAt func()
 
-	mu   sync.Mutex // guards uses
-	uses int        // parties that still need the context
+	mu   sync.Mutex // guards refs
+	refs int        // reference count
 }
 
 func newDeadlineContext(parent context.Context, clk clock.Clock, deadline time.Time) *deadlineContext {
@@ -30,22 +30,22 @@
 		Context: ctx,
 		cancel:  cancel,
 		stopAt:  func() { timer.Stop() },
-		uses:    1,
+		refs:    1,
 	}
 }
 
-// hold keeps the context open until one more call of stop.
-func (d *deadlineContext) hold() {
+// retain adds a reference to the context, which requires one more call of release.
+func (d *deadlineContext) retain() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.uses++
+	d.refs++
 }
 
-// stop ends the context when nobody holds it any more.
-func (d *deadlineContext) stop() {
+// release drops a reference and ends the context when none is left.
+func (d *deadlineContext) release() {
 	d.mu.Lock()
-	d.uses--
-	last := d.uses == 0
+	d.refs--
+	last := d.refs == 0
 	d.mu.Unlock()
 	if last {
 		d.stopAt()
@@ -58,5 +58,6 @@
 	return errors.Is(context.Cause(d.Context), errDeadline)
 }
 
-// callerHere reports whether the caller still waits, as far as is known.
-func (d *deadlineContext) callerHere() bool { return d.Err() == nil || d.passed() }
+// callerConnected reports whether the caller is still connected, as far as is
+// known. A context that ended at its deadline does not count as disconnected.
+func (d *deadlineContext) callerConnected() bool { return d.Err() == nil || d.passed() }
--- a/internal/pipeline/failure.go
+++ b/internal/pipeline/failure.go
@@ -10,16 +10,17 @@
 )
 
 const (
-	// retryAfter is around when a caller may come back if nothing better is
-	// known.
+	// retryAfter is the default time after which a caller may retry, before
+	// jitter.
 	retryAfter = 500 * time.Millisecond
-	// repeatPause is waited before the third attempt, doubled for each more.
-	// The second goes at once: most faults are of one target.
-	repeatPause = 10 * time.Millisecond
+	// retryBackoff is the backoff before the third attempt; it doubles for each
+	// further attempt. The second attempt is made at once, because most faults
+	// affect a single target.
+	retryBackoff = 10 * time.Millisecond
 )
 
-// onFailure decides what follows a failed attempt: nothing while another may
-// win, a further attempt, or the stage's error.
+// onFailure handles a failed attempt. It does nothing while another attempt may
+// still succeed, makes a further attempt, or returns the error of the stage.
 func (s *stageRun) onFailure(a *attempt, err error) error {
 	var acquire *acquireError
 	if errors.As(err, &acquire) {
@@ -27,21 +28,22 @@
 	}
 	f := stagecall.FailureOf(err)
 	a.notRun, a.connectionFailed = f.NotRun, ofConnection(f)
-	s.failed = f
+	s.lastFailure = f
 	s.x.r.opts.Metrics.Labelled(metricFailures).Add(f.Class.String(), 1)
 	switch {
-	case final(f):
+	case notRetryable(f):
 		return s.giveUp()
 	case s.openAttempts() > 0:
 		return nil
-	case !s.mayRepeat(f):
+	case !s.mayRetry(f):
 		return s.giveUp()
 	}
-	s.repeat()
+	s.retry()
 	return nil
 }
 
-// ofConnection reports failures that may be the connection's, not the target's.
+// ofConnection reports whether a failure may be the fault of the connection and
+// not of the target.
 func ofConnection(f *stagecall.Failure) bool {
 	switch f.Class {
 	case stagecall.ClassSilent, stagecall.ClassBroken, stagecall.ClassProtocol:
@@ -50,10 +52,10 @@
 	return false
 }
 
-// notLoad reports failures that more load neither causes nor follows from: the
-// target could not be reached, its connection was lost, it is leaving. A wait
-// that was too long and a busy target may be load.
-func notLoad(f *stagecall.Failure) bool {
+// isFault reports whether a failure is independent of load: the target could not
+// be reached, its connection was lost, or it is leaving. Timeouts and busy targets
+// may be caused by load.
+func isFault(f *stagecall.Failure) bool {
 	switch f.Class {
 	case stagecall.ClassConnect, stagecall.ClassBroken, stagecall.ClassProtocol:
 		return true
@@ -63,15 +65,16 @@
 	return f.Connection
 }
 
-// final reports failures that another target would meet too.
-func final(f *stagecall.Failure) bool {
+// notRetryable reports whether the attempt would fail on any other target too.
+func notRetryable(f *stagecall.Failure) bool {
 	return f.Class == stagecall.ClassBadInput || f.Code == stagecall.CodeTooLarge
 }
 
-// mayRepeat is the rule of repeats: only what is idempotent, or proven not to
-// have run. A failure after the first byte of a call is never proof.
-func (s *stageRun) mayRepeat(f *stagecall.Failure) bool {
-	if s.detached || s.x.over() {
+// mayRetry reports whether a further attempt is allowed. Only a stage that is
+// idempotent, or whose attempt is proven not to have run, may be retried. A
+// failure after the first byte of a call was sent is never such a proof.
+func (s *stageRun) mayRetry(f *stagecall.Failure) bool {
+	if s.detached || s.x.ended() {
 		return false
 	}
 	if !s.stage.Idempotent && !f.NotRun {
@@ -83,53 +86,56 @@
 	return !s.x.r.opts.Crash.Refused(s.x.fingerprint)
 }
 
-// repeat makes a further attempt, after a pause from the third on.
-func (s *stageRun) repeat() {
-	s.x.r.opts.Metrics.Counter(metricRepeats).Add(1)
+// retry makes a further attempt: the second at once, later ones after a backoff
+// with jitter.
+func (s *stageRun) retry() {
+	s.x.r.opts.Metrics.Counter(metricRetries).Add(1)
 	made := len(s.attempts)
 	if made < 2 {
 		s.launch(true, false)
 		return
 	}
-	pause := repeatPause << (made - 2)
-	s.repeatTimer = s.x.r.opts.Clock.NewTimer(s.x.r.jitter(pause))
+	pause := retryBackoff << (made - 2)
+	s.retryTimer = s.x.r.opts.Clock.NewTimer(s.x.r.jitter(pause))
 }
 
-// onNoSlot handles an attempt that had no slot. Once an attempt has failed,
-// that failure tells the caller more than "no slot for a repeat".
+// onNoSlot handles an attempt that did not get a slot. If an earlier attempt has
+// failed, the caller gets that failure, which is more informative than the lack of
+// a slot for a retry.
 func (s *stageRun) onNoSlot(err error) error {
 	switch {
 	case s.openAttempts() > 0:
 		return nil
-	case s.x.over():
+	case s.x.ended():
 		return s.endOfContext()
-	case outOfPart(err) && !s.wholeRest:
-		s.wholeRest = true
-		s.launch(s.failed != nil, false)
+	case stageTimeExceeded(err) && !s.useAllTime:
+		s.useAllTime = true
+		s.launch(s.lastFailure != nil, false)
 		return nil
-	case s.failed == nil:
+	case s.lastFailure == nil:
 		return err
-	case errkind.Is(err, errkind.NoTarget) && !s.forgave && s.mayRepeat(s.failed):
-		s.forgave = true
+	case errkind.Is(err, errkind.NoTarget) && !s.allowExcluded && s.mayRetry(s.lastFailure):
+		s.allowExcluded = true
 		s.launch(true, false)
 		return nil
 	}
 	return s.giveUp()
 }
 
-// outOfPart reports that the queue refused for the stage's part of the deadline.
-// The part orders queues; only the request's own deadline ends it.
-func outOfPart(err error) bool {
+// stageTimeExceeded reports whether the queue refused the attempt because of the
+// stage's part of the deadline. That part only determines the order in queues; a
+// request ends only at its own deadline.
+func stageTimeExceeded(err error) bool {
 	kind := errkind.Of(err)
 	return kind == errkind.DeadlineBeforeRun || kind == errkind.DeadlineUnreachable
 }
 
-// giveUp returns the stage's error after its last failure.
+// giveUp returns the error of the stage, which wraps its last failure.
 func (s *stageRun) giveUp() error {
-	return errkind.Wrap(s.failed, s.kindOf(s.failed), "stage %s", s.stage.Name)
+	return errkind.Wrap(s.lastFailure, s.kindOf(s.lastFailure), "stage %s", s.stage.Name)
 }
 
-// kindOf maps a failure to what the caller is told.
+// kindOf maps a failure to the error kind that the caller gets.
 func (s *stageRun) kindOf(f *stagecall.Failure) errkind.Kind {
 	switch {
 	case s.x.r.opts.Crash.Refused(s.x.fingerprint):
@@ -142,9 +148,9 @@
 		return errkind.DeadlineAfterRun
 	case f.Class == stagecall.ClassCancelled && s.x.ctx.Err() != nil:
 		return errkind.Cancelled
-	case !s.own.any() && f.Class == stagecall.ClassConnect:
+	case !s.own.mayHaveRun() && f.Class == stagecall.ClassConnect:
 		return errkind.NoTarget
-	case !s.own.any():
+	case !s.own.mayHaveRun():
 		return errkind.TargetRefused
 	case s.streams && len(s.text) > 0:
 		return errkind.StreamBroken
@@ -152,7 +158,8 @@
 	return errkind.TargetFailed
 }
 
-// releaseIfNotRun lets a resend run a claimed stage that was certainly not run.
+// releaseIfNotRun releases the claim of a stage that is proven not to have run, so
+// that a resend may run it.
 func (s *stageRun) releaseIfNotRun() {
 	if s.claim == nil || s.own.close() {
 		return
--- a/internal/pipeline/fakes_test.go
+++ b/internal/pipeline/fakes_test.go
@@ -27,16 +27,16 @@
 	"lynxhill.example/lynxhill/internal/wire/targetapi"
 )
 
-// fakeGate gives out the targets of a service in turn.
+// fakeGate grants the targets of a service in turn.
 type fakeGate struct {
 	targets   int // per service
 	timeouts  admission.Timeouts
 	quantiles map[string]time.Duration // by stage
 	refuse    func(want admission.Want) error
-	wait      time.Duration // in the queue
+	wait      time.Duration // time in the queue
 	clock     clock.Clock
 
-	mu      sync.Mutex // guards next, wants and results
+	mu      sync.Mutex // guards the fields below
 	next    int
 	wants   []admission.Want
 	results []admission.Result
@@ -101,11 +101,11 @@
 	return d, ok
 }
 
-// fakeClaims keeps claims in memory, as the platform would.
+// fakeClaims stores claims in memory.
 type fakeClaims struct {
 	holder string
 	err    error
-	fail   func() error // called before each claim, under the lock
+	fail   func() error // called before each claim with the lock held
 
 	mu   sync.Mutex // guards rows
 	rows map[claim.Key]*fakeRow
@@ -168,7 +168,7 @@
 	delete(c.claims.rows, c.key)
 }
 
-// fakeRemote answers for other instances.
+// fakeRemote holds the outcome records of other instances, by instance ID.
 type fakeRemote map[string]outcome.Record
 
 func (r fakeRemote) Outcome(_ context.Context, instance string, _ outcome.Key) (outcome.Record, bool, error) {
@@ -176,7 +176,7 @@
 	return record, found, nil
 }
 
-// recorder is a sink that keeps what it gets.
+// recorder is a sink that records its calls.
 type recorder struct {
 	offsets []int
 	text    string
@@ -223,8 +223,8 @@
 	}}
 }
 
-// world is a runner with fakes around it, inside a synctest bubble.
-type world struct {
+// testEnv is a runner with fake dependencies, inside a synctest bubble.
+type testEnv struct {
 	fleet    *memtarget.Fleet
 	gate     *fakeGate
 	claims   *fakeClaims
@@ -236,10 +236,10 @@
 	requests int
 }
 
-func newWorld(fleet memtarget.Options) *world {
+func newTestEnv(fleet memtarget.Options) *testEnv {
 	clk := quartz.NewReal()
 	fleet.Clock = clk
-	w := &world{
+	w := &testEnv{
 		fleet:    memtarget.New(fleet),
 		gate:     &fakeGate{targets: 4, clock: clk, timeouts: admission.Timeouts{FirstByte: 500 * time.Millisecond, Progress: 300 * time.Millisecond}},
 		claims:   newFakeClaims(),
@@ -252,7 +252,7 @@
 	return w
 }
 
-func (w *world) newRunner(self string) *Runner {
+func (w *testEnv) newRunner(self string) *Runner {
 	profiles := map[string]profile.Versioned{
 		"draft": {Version: 3, Profile: draftProfile()},
 		"book":  {Version: 4, Profile: bookProfile()},
@@ -271,7 +271,7 @@
 	})
 }
 
-func (w *world) request(prof, key string) Request {
+func (w *testEnv) request(prof, key string) Request {
 	w.requests++
 	now := w.clock.Now()
 	return Request{
@@ -281,7 +281,7 @@
 	}
 }
 
-// wholeDraft is the whole answer of the draft profile.
+// wholeDraft returns the complete answer of the draft profile.
 func wholeDraft(req Request) string {
 	first := memtarget.Output(targetapi.RunRequest{Stage: stageEncode, Input: req.Input})
 	return memtarget.Text(targetapi.RunRequest{Stage: stageDraft, Input: req.Input, Previous: first})
@@ -292,7 +292,7 @@
 	return string(memtarget.Output(targetapi.RunRequest{Stage: stageBook, Input: req.Input, Previous: first}))
 }
 
-// faultOnce gives the first call of the stage the plan.
+// faultOnce applies the plan to the first call of the stage only.
 func faultOnce(stage string, plan memtarget.Plan) func(stagecall.Target, targetapi.RunRequest) memtarget.Plan {
 	used := false
 	return func(_ stagecall.Target, req targetapi.RunRequest) memtarget.Plan {
@@ -304,7 +304,7 @@
 	}
 }
 
-func (w *world) runsOf(stage string) []memtarget.Run {
+func (w *testEnv) runsOf(stage string) []memtarget.Run {
 	var runs []memtarget.Run
 	for _, run := range w.fleet.Runs() {
 		if run.Request.Stage == stage {
@@ -314,7 +314,7 @@
 	return runs
 }
 
-func (w *world) noViolations(t *testing.T) {
+func (w *testEnv) noViolations(t *testing.T) {
 	t.Helper()
 	for _, v := range w.violated.Violations() {
 		t.Errorf("invariant %s violated: %s", v.Rule, v.Detail)
--- a/internal/pipeline/faults_test.go
+++ b/internal/pipeline/faults_test.go
@@ -16,13 +16,14 @@
 	"lynxhill.example/lynxhill/internal/wire/targetapi"
 )
 
-// Each row is a fault that a stream must survive. Symptom without the
-// mechanism: the caller gets a broken, doubled, gapped or foreign text.
+// Each row is a fault that a stream must survive. The caller must not get a text
+// that is truncated, has duplicated or missing parts, or belongs to another
+// request.
 func TestStreamSurvivesFaults(t *testing.T) {
 	rows := []struct {
-		story  string
+		name   string
 		plan   memtarget.Plan
-		resume bool // the second attempt begins where the first broke off
+		resume bool // the second attempt resumes where the first ended
 	}{
 		{"the connection breaks after some frames; the rest comes from another target", memtarget.Plan{Fault: memtarget.Break, AfterBytes: 20}, true},
 		{"a frame of another attempt comes on the connection; it must not reach the caller", memtarget.Plan{Fault: memtarget.WrongIDs, AfterBytes: 20}, true},
@@ -30,17 +31,17 @@
 		{"a frame was lost between the two ends, the next one skips bytes", memtarget.Plan{Fault: memtarget.Gap, AfterBytes: 20}, true},
 		{"frames are missing before the end mark: truncated, yet it looks ended", memtarget.Plan{Fault: memtarget.Truncated, AfterBytes: 20}, true},
 		{"the connection closes after the last frame, before the end mark", memtarget.Plan{Fault: memtarget.NoEnd}, true},
-		{"a kept connection has gone silent, a new one works", memtarget.Plan{Fault: memtarget.Silent, OldConnection: true}, false},
+		{"a pooled connection has gone silent, a new one works", memtarget.Plan{Fault: memtarget.Silent, OldConnection: true}, false},
 		{"the target stops making progress in the middle", memtarget.Plan{Fault: memtarget.Straggle, Slow: 500}, false},
 		{"the target refuses", memtarget.Plan{Fault: memtarget.Refuse}, false},
 		{"the target is gone", memtarget.Plan{Fault: memtarget.ConnectFail}, false},
 		{"the target fails in the middle", memtarget.Plan{Fault: memtarget.Fail, AfterBytes: 20}, true},
-		{"the target dies", memtarget.Plan{Fault: memtarget.Die}, false},
+		{"the target crashes", memtarget.Plan{Fault: memtarget.Die}, false},
 	}
 	for _, row := range rows {
-		t.Run(row.story, func(t *testing.T) {
+		t.Run(row.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newWorld(memtarget.Options{Plan: faultOnce(stageDraft, row.plan)})
+				w := newTestEnv(memtarget.Options{Plan: faultOnce(stageDraft, row.plan)})
 				req := w.request("draft", "k")
 				sink := new(recorder)
 				out, err := w.runner.Run(t.Context(), req, sink)
@@ -56,10 +57,10 @@
 				}
 				want := w.gate.wants[len(w.gate.wants)-1]
 				if !want.Repeat {
-					t.Error("the repeat was not counted against the budget")
+					t.Error("the retry was not counted against the retry budget")
 				}
 				if (want.Provider != "") != row.resume {
-					t.Errorf("provider %q: a text that was begun must be gone on with by the same model", want.Provider)
+					t.Errorf("provider %q: a partially delivered text must be continued by the same model", want.Provider)
 				}
 				w.noViolations(t)
 			})
@@ -67,12 +68,12 @@
 	}
 }
 
-// Symptom: a repeat meets the same silence as the first attempt.
-// Events: the only target of a service is behind a connection that went silent.
-// Cause: the target was excluded for its connection, and no other is left.
+// Guards against a request that fails because the only target of a service was
+// excluded after its connection went silent. The retry must use the same target on
+// a new connection.
 func TestOnlyTargetIsTriedAgainOnNewConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(memtarget.Options{Plan: faultOnce(stageDraft, memtarget.Plan{Fault: memtarget.Silent, OldConnection: true})})
+		w := newTestEnv(memtarget.Options{Plan: faultOnce(stageDraft, memtarget.Plan{Fault: memtarget.Silent, OldConnection: true})})
 		w.gate.targets = 1
 		req := w.request("draft", "k")
 		sink := new(recorder)
@@ -82,12 +83,11 @@
 	})
 }
 
-// Symptom: one slow target makes the request late.
-// Events: the first target straggles; the hedge answers; both would deliver.
-// Cause: without one winner the caller would get two interleaved answers.
+// Guards against two interleaved answers: the first target straggles, a hedge is
+// sent, and both attempts answer. Only one of them may deliver.
 func TestHedgeWinsAndAloneDelivers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(memtarget.Options{Plan: faultOnce(stageDraft, memtarget.Plan{Fault: memtarget.Straggle, Slow: 20})})
+		w := newTestEnv(memtarget.Options{Plan: faultOnce(stageDraft, memtarget.Plan{Fault: memtarget.Straggle, Slow: 20})})
 		// The straggler's first frame comes at 50 ms, the hedge's 2.5 ms after it starts.
 		w.gate.timeouts.HedgeAt = 47500 * time.Microsecond
 		req := w.request("draft", "k")
@@ -104,11 +104,11 @@
 	})
 }
 
-// The same with a straggler so slow that the hedge surely wins: its loser must
-// be cancelled, and counted as neither a success nor a fault of its target.
+// As above, with a straggler so slow that the hedge always wins. The other attempt
+// must be cancelled, and count as neither a success nor a fault of its target.
 func TestHedgeCancelsTheLoser(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(memtarget.Options{Plan: faultOnce(stageDraft, memtarget.Plan{Fault: memtarget.Straggle, Slow: 150})})
+		w := newTestEnv(memtarget.Options{Plan: faultOnce(stageDraft, memtarget.Plan{Fault: memtarget.Straggle, Slow: 150})})
 		w.gate.timeouts.HedgeAt = 30 * time.Millisecond
 		out, err := w.runner.Run(t.Context(), w.request("draft", "k"), new(recorder))
 		if err != nil || out.Stages[1].Hedges != 1 || out.Stages[1].Wasted <= 0 {
@@ -125,20 +125,19 @@
 	})
 }
 
-// Symptom: a booking is made twice.
-// Events: the service books, then its reply is lost, or it goes silent, or it
-// says that it failed after it ran.
-// Cause: a retry of what may have run. The resend must not run it either.
+// Guards against a double booking by a retry of a call that may have run: the
+// service books, and then its reply is lost, it goes silent, or it reports a
+// failure. A resend by the caller must not run the stage again either.
 func TestNonIdempotentRunsAtMostOnce(t *testing.T) {
 	for _, fault := range []memtarget.Fault{memtarget.LostReply, memtarget.Silent, memtarget.Fail, memtarget.Die, memtarget.WrongIDs} {
 		t.Run(fault.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newWorld(memtarget.Options{Plan: faultOnce(stageBook, memtarget.Plan{Fault: fault})})
+				w := newTestEnv(memtarget.Options{Plan: faultOnce(stageBook, memtarget.Plan{Fault: fault})})
 				w.gate.timeouts.HedgeAt = time.Millisecond
 				_, err := w.runner.Run(t.Context(), w.request("book", "k"), nil)
 				want := errkind.TargetFailed
 				if fault == memtarget.Silent {
-					want = errkind.DeadlineAfterRun // it waits as long as it may
+					want = errkind.DeadlineAfterRun // no timeout applies but the deadline
 				}
 				if !errkind.Is(err, want) {
 					t.Errorf("first: %v", err)
@@ -150,9 +149,9 @@
 				if runs := w.runsOf(stageBook); len(runs) != 1 {
 					t.Errorf("%d runs", len(runs))
 				}
-				w.runner.Wait() // the silent call goes on past the deadline
+				w.runner.Wait() // the silent call continues past the deadline
 				if runs := w.runsOf(stageBook); len(runs) != 1 {
-					t.Errorf("%d runs in the end", len(runs))
+					t.Errorf("%d runs after the call has ended", len(runs))
 				}
 				w.noViolations(t)
 			})
@@ -160,13 +159,13 @@
 	}
 }
 
-// Symptom: a booking that went through is answered "may have run".
-// Events: the service takes longer than the first-byte timeout, which comes from
+// Guards against a booking that succeeded but is answered "may have run": the
+// first-byte timeout exists to retry a call, so it must not end one that may not
+// be retried. The service takes longer than that timeout, which is derived from
 // the usual time, but not longer than the deadline.
-// Cause: a timeout that serves to repeat a call that may not be repeated.
 func TestSlowNonIdempotentCallIsWaitedFor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(memtarget.Options{Plan: faultOnce(stageBook, memtarget.Plan{Fault: memtarget.Straggle, Slow: 400})})
+		w := newTestEnv(memtarget.Options{Plan: faultOnce(stageBook, memtarget.Plan{Fault: memtarget.Straggle, Slow: 400})})
 		req := w.request("book", "k")
 		out, err := w.runner.Run(t.Context(), req, nil)
 		if err != nil || string(out.Output) != wholeBooking(req) {
@@ -175,12 +174,12 @@
 	})
 }
 
-// Symptom: a booking ends as "may have run" though the service never heard of it.
-// Events: the kept connection went silent before the call.
-// Cause: a call that cannot be repeated on a connection of unknown state.
+// Guards against a booking that ends as "may have run" although the service never
+// received it, because the pooled connection had gone silent before the call. A
+// call that cannot be retried must use a new connection.
 func TestNonIdempotentCallUsesNewConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(memtarget.Options{Plan: faultOnce(stageBook, memtarget.Plan{Fault: memtarget.Silent, OldConnection: true})})
+		w := newTestEnv(memtarget.Options{Plan: faultOnce(stageBook, memtarget.Plan{Fault: memtarget.Silent, OldConnection: true})})
 		req := w.request("book", "k")
 		out, err := w.runner.Run(t.Context(), req, nil)
 		if err != nil || string(out.Output) != wholeBooking(req) {
@@ -189,13 +188,13 @@
 	})
 }
 
-// Symptom: a booking fails although a free target was there.
-// Events: the first target refuses, or cannot be reached.
-// Cause: what is proven not run may go elsewhere under the same claim.
-func TestNonIdempotentMovesOnWhenProvenNotRun(t *testing.T) {
+// Guards against a booking that fails because its first target refuses it or
+// cannot be reached, although another target is available. A call that is proven
+// not to have run may be sent to another target under the same claim.
+func TestNonIdempotentIsRetriedWhenProvenNotRun(t *testing.T) {
 	for _, fault := range []memtarget.Fault{memtarget.Refuse, memtarget.ConnectFail} {
 		synctest.Test(t, func(t *testing.T) {
-			w := newWorld(memtarget.Options{Plan: faultOnce(stageBook, memtarget.Plan{Fault: fault})})
+			w := newTestEnv(memtarget.Options{Plan: faultOnce(stageBook, memtarget.Plan{Fault: fault})})
 			req := w.request("book", "k")
 			out, err := w.runner.Run(t.Context(), req, nil)
 			if err != nil || string(out.Output) != wholeBooking(req) || len(w.runsOf(stageBook)) != 1 {
@@ -206,13 +205,12 @@
 	}
 }
 
-// Symptom: after all targets refused, a resend is told "outcome unknown".
-// Events: every target is busy; the request is given up; it comes again.
-// Cause: a claim that was kept although nothing ran.
+// Guards against a resend that gets "outcome unknown" after all targets refused
+// the first request, because its claim was not released although nothing ran.
 func TestClaimIsReleasedWhenNothingRan(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		busy := true
-		w := newWorld(memtarget.Options{Plan: func(_ stagecall.Target, req targetapi.RunRequest) memtarget.Plan {
+		w := newTestEnv(memtarget.Options{Plan: func(_ stagecall.Target, req targetapi.RunRequest) memtarget.Plan {
 			if busy && req.Stage == stageBook {
 				return memtarget.Plan{Fault: memtarget.Refuse}
 			}
@@ -230,33 +228,30 @@
 	})
 }
 
-// Symptom: a caller is told "not run", and the target's record shows a run.
-// Events: the deadline passes while the attempt waits in the queue, and the
-// slot comes just after.
-// Cause: an attempt that begins after the answer was given.
+// Guards against a dispatch after the answer "not run": the deadline passes while
+// the attempt waits in the queue, and it gets its slot shortly afterwards.
 func TestNothingIsDispatchedAfterNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(memtarget.Options{})
-		w.gate.refuse = func(admission.Want) error { time.Sleep(11 * time.Second); return nil } // a slot that comes late, whatever the context
+		w := newTestEnv(memtarget.Options{})
+		w.gate.refuse = func(admission.Want) error { time.Sleep(11 * time.Second); return nil } // grants the slot late, regardless of the context
 		_, err := w.runner.Run(t.Context(), w.request("draft", "k"), nil)
 		if !errkind.Is(err, errkind.DeadlineBeforeRun) {
 			t.Errorf("got %v", err)
 		}
 		time.Sleep(time.Minute)
 		if len(w.fleet.Runs()) != 0 {
-			t.Error("it ran after it was answered not_run")
+			t.Error("the request ran after it was answered not_run")
 		}
 	})
 }
 
-// Symptom: a caller that went away and comes back is told "unknown", though
-// its booking went through.
-// Events: the caller's connection breaks while the service books.
-// Cause: the claimed call was cancelled with its caller.
+// Guards against "outcome unknown" for a booking that succeeded: the caller's
+// connection breaks while the service books, and the caller resends. The claimed
+// call must not be cancelled when its caller disconnects.
 func TestClaimedCallOutlivesItsCaller(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		slow := memtarget.Plan{Fault: memtarget.Straggle, Slow: 20}
-		w := newWorld(memtarget.Options{Plan: faultOnce(stageBook, slow)})
+		w := newTestEnv(memtarget.Options{Plan: faultOnce(stageBook, slow)})
 		ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 		defer cancel()
 		if _, err := w.runner.Run(ctx, w.request("book", "k"), nil); !errkind.Is(err, errkind.Cancelled) {
@@ -272,12 +267,12 @@
 	})
 }
 
-// Symptom: a resend is told "unknown", though the booking was made.
-// Events: the service answers shortly after the request's deadline.
-// Cause: the claimed call ended with the deadline, and its claim with no result.
+// Guards against a resend that gets "outcome unknown" for a booking that was made
+// shortly after the deadline, because the claimed call ended at the deadline
+// without a recorded result.
 func TestClaimedCallMayAnswerAfterTheDeadline(t *testing.T) {
 	rows := []struct {
-		story    string
+		name     string
 		late     time.Duration
 		recorded bool
 	}{
@@ -286,38 +281,37 @@
 	}
 	for _, row := range rows {
 		synctest.Test(t, func(t *testing.T) {
-			w := newWorld(memtarget.Options{Plan: faultOnce(stageBook, memtarget.Plan{Service: time.Second + row.late})})
+			w := newTestEnv(memtarget.Options{Plan: faultOnce(stageBook, memtarget.Plan{Service: time.Second + row.late})})
 			req := w.request("book", "k")
 			req.Deadline = req.Received.Add(time.Second)
 			if _, err := w.runner.Run(t.Context(), req, nil); !errkind.Is(err, errkind.DeadlineAfterRun) {
-				t.Errorf("%s: got %v", row.story, err)
+				t.Errorf("%s: got %v", row.name, err)
 			}
 			if over := w.clock.Now().Sub(req.Deadline); over > 10*time.Millisecond {
-				t.Errorf("%s: the caller had its answer %v after the deadline", row.story, over)
+				t.Errorf("%s: the caller got its answer %v after the deadline", row.name, over)
 			}
 			w.runner.Wait()
 			if over := w.clock.Now().Sub(req.Deadline); over > claimGrace+10*time.Millisecond {
-				t.Errorf("%s: the call ended %v after the deadline", row.story, over)
+				t.Errorf("%s: the call ended %v after the deadline", row.name, over)
 			}
 			again := w.request("book", "k")
 			out, err := w.runner.Run(t.Context(), again, nil)
 			if row.recorded && (err != nil || string(out.Output) != wholeBooking(again)) || !row.recorded && !errkind.Is(err, errkind.OutcomeUnknown) {
-				t.Errorf("%s: resend: %s, %v", row.story, out.Output, err)
+				t.Errorf("%s: resend: %s, %v", row.name, out.Output, err)
 			}
 			if n := len(w.runsOf(stageBook)); n != 1 {
-				t.Errorf("%s: %d runs", row.story, n)
+				t.Errorf("%s: %d runs", row.name, n)
 			}
 			w.noViolations(t)
 		})
 	}
 }
 
-// Symptom: accelerators work for callers that are gone.
-// Events: the caller goes away during an idempotent stage.
-// Cause: work that is not cancelled with its caller.
+// Guards against accelerator time spent on callers that have disconnected: an
+// idempotent stage is cancelled when its caller disconnects.
 func TestIdempotentWorkIsCancelledWithItsCaller(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(memtarget.Options{})
+		w := newTestEnv(memtarget.Options{})
 		sink := &recorder{onFrame: func() error { return errors.New("gone") }}
 		if _, err := w.runner.Run(t.Context(), w.request("draft", "k"), sink); !errkind.Is(err, errkind.Cancelled) {
 			t.Errorf("got %v", err)
@@ -329,11 +323,11 @@
 	})
 }
 
-// A resend while another instance holds the claim gets that instance's answer;
-// if that instance knows nothing, the honest answer is "unknown".
-func TestHeldClaimAsksItsHolder(t *testing.T) {
+// A resend while another instance holds the claim gets that instance's answer. If
+// that instance has no record, the correct answer is "outcome unknown".
+func TestHeldClaimIsAnsweredByItsHolder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(memtarget.Options{})
+		w := newTestEnv(memtarget.Options{})
 		req := w.request("book", "k")
 		w.claims.holder = "other"
 		_, _ = w.claims.Claim(t.Context(), claim.Request{Key: claim.Key{Organisation: "o", Key: "k", Stage: stageBook}, BodyHash: BodyHash(req)})
@@ -348,8 +342,8 @@
 	})
 }
 
-// Symptom: "not run" for a request whose first stage ran, because a later
-// stage's error says so of itself.
+// Guards against "not run" for a request whose first stage ran, because the error
+// of a later stage says that this stage has not run.
 func TestLaterStageErrorsAreNotNotRun(t *testing.T) {
 	rows := map[errkind.Kind]errkind.Kind{
 		errkind.KeyReused:           errkind.OutcomeUnknown,
@@ -360,19 +354,20 @@
 	}
 	for claimed, want := range rows {
 		synctest.Test(t, func(t *testing.T) {
-			w := newWorld(memtarget.Options{})
+			w := newTestEnv(memtarget.Options{})
 			w.claims.err = errkind.New(claimed, "claim")
 			if _, err := w.runner.Run(t.Context(), w.request("book", "k"), nil); !errkind.Is(err, want) {
-				t.Errorf("%v became %v, expected %v", claimed, err, want)
+				t.Errorf("%v was mapped to %v, expected %v", claimed, err, want)
 			}
 			w.noViolations(t)
 		})
 	}
 }
 
-// Symptom: the connections of half a service are lost together, and requests
-// fail although other targets are well. Cause: their repeats share the budget
-// that holds back repeats of overloaded targets, and it is spent at once.
+// Guards against failing requests when the connections of half a service are lost
+// at once, although the other targets are healthy: if retries after such faults
+// shared the retry budget with retries of overloaded targets, it would be
+// exhausted at once.
 func TestRepeatsAfterFaultsAreCountedApart(t *testing.T) {
 	rows := []struct {
 		plan  memtarget.Plan
@@ -387,7 +382,7 @@
 	}
 	for _, row := range rows {
 		synctest.Test(t, func(t *testing.T) {
-			w := newWorld(memtarget.Options{Plan: faultOnce(stageDraft, row.plan)})
+			w := newTestEnv(memtarget.Options{Plan: faultOnce(stageDraft, row.plan)})
 			if _, err := w.runner.Run(t.Context(), w.request("draft", "k"), new(recorder)); err != nil {
 				t.Fatal(err)
 			}
--- a/internal/pipeline/finish.go
+++ b/internal/pipeline/finish.go
@@ -10,13 +10,13 @@
 	"lynxhill.example/lynxhill/internal/profile"
 )
 
-// answerStreams reports whether the answer goes to the caller as a stream.
+// answerStreams reports whether the answer is streamed to the caller.
 func (x *execution) answerStreams() bool {
 	stages := x.prof.Profile.Stages
 	return stages[len(stages)-1].Kind == profile.KindGenerate
 }
 
-// finish makes the request's one answer.
+// finish returns the request's only answer and records the end of the request.
 func (x *execution) finish(output json.RawMessage, err error) (Outcome, error) {
 	check := x.r.opts.Check
 	check.Check(!x.finished, invariant.OneDelivery, "request %s", x.req.ID)
@@ -54,8 +54,9 @@
 	return out
 }
 
-// finalError gives err the kind that is true for the whole request: a stage
-// that was not run does not make a request not run whose earlier stages were.
+// finalError wraps err with the kind that is correct for the whole request: if a
+// stage has not run but an earlier one has, the request must not be reported as
+// not run. It also sets the time after which to retry, and logs the error.
 func (x *execution) finalError(err error, dispatched bool) error {
 	kind := errkind.Of(err)
 	after := errkind.RetryAfter(err)
@@ -64,7 +65,7 @@
 		kind = final
 	}
 	truthful := !dispatched || kind.RunState() != errkind.NotRun
-	if !x.r.opts.Check.Check(truthful, invariant.RunStateTrue, "request %s: %s although dispatched", x.req.ID, kind) {
+	if !x.r.opts.Check.Check(truthful, invariant.RunStateTrue, "request %s: error kind %s means not run, but it was dispatched", x.req.ID, kind) {
 		err = errkind.Wrap(err, errkind.Internal, "run state")
 	}
 	if kind.Answer().Resend == errkind.ResendLater && after == 0 {
@@ -77,7 +78,7 @@
 	return err
 }
 
-// kindOfRequest turns a stage's kind into the request's.
+// kindOfRequest maps the error kind of a stage to that of the whole request.
 func kindOfRequest(kind errkind.Kind, dispatched bool) errkind.Kind {
 	if !dispatched {
 		if kind == errkind.DeadlineAfterRun {
@@ -105,7 +106,7 @@
 	}
 }
 
-// report says how the stage went.
+// report returns the summary of the stage.
 func (s *stageRun) report(err error) StageReport {
 	report := StageReport{
 		Stage:    s.stage.Name,
@@ -114,7 +115,7 @@
 		Duration: s.x.now().Sub(s.started),
 		Err:      err,
 	}
-	if a := s.shownAttempt(); a != nil {
+	if a := s.reportedAttempt(); a != nil {
 		report.Provider = a.choice.Provider.Name
 		report.Service = a.choice.Provider.Service
 		report.Target = a.choice.Target.ID
@@ -139,9 +140,9 @@
 	return report
 }
 
-// shownAttempt is the attempt that the report names: the winner, else the last
-// that had a target.
-func (s *stageRun) shownAttempt() *attempt {
+// reportedAttempt returns the attempt whose target the report names: the winner,
+// or else the last attempt that had a target, or nil.
+func (s *stageRun) reportedAttempt() *attempt {
 	if s.winner != nil {
 		return s.winner
 	}
@@ -153,8 +154,9 @@
 	return nil
 }
 
-// costOf returns what the target said of an attempt. One that was cancelled or
-// broke says nothing: it is taken to have cost as much a second as the winner.
+// costOf returns the cost of an attempt as reported by its target. A cancelled or
+// broken attempt has no reported cost; its cost is estimated from that of the
+// winner, in proportion to the tokens received, or else to the elapsed time.
 func (s *stageRun) costOf(a *attempt) float64 {
 	if a.cost > 0 || a == s.winner || s.winner == nil || !a.started || a.notRun {
 		return a.cost
--- a/internal/pipeline/machine_test.go
+++ b/internal/pipeline/machine_test.go
@@ -23,23 +23,23 @@
 	"lynxhill.example/lynxhill/internal/wire/targetapi"
 )
 
-// machine is the system under test: two instances over one platform and one
-// fleet, with every fault at random.
+// machine is the system under test: two instances with shared claims and one
+// fleet, with random faults of every kind.
 type machine struct {
-	*world
+	*testEnv
 	other    *Runner
 	inFlight sync.WaitGroup
 
 	chanceMu sync.Mutex // guards random and faults
 	random   *rand.Rand
-	faults   float64 // share of calls and claims that go wrong
+	faults   float64 // probability that a call fails; a claim or a slot fails with a fifth of it
 
 	mu    sync.Mutex // guards ended
-	ended []*sent
+	ended []*sentRequest
 }
 
-// sent is a request with what its caller got.
-type sent struct {
+// sentRequest is a request with the result that its caller got.
+type sentRequest struct {
 	req      Request
 	sink     recorder
 	out      Outcome
@@ -50,7 +50,7 @@
 
 func newMachine(seed uint64) *machine {
 	m := &machine{random: rand.New(rand.NewPCG(seed, 1))}
-	m.world = newWorld(memtarget.Options{Plan: m.plan, Marker: "poison", RestartAfter: 300 * time.Millisecond})
+	m.testEnv = newTestEnv(memtarget.Options{Plan: m.plan, Marker: "poison", RestartAfter: 300 * time.Millisecond})
 	m.gate.timeouts.HedgeAt = 15 * time.Millisecond
 	m.gate.refuse = func(admission.Want) error { return m.sometimes(errkind.NoTarget) }
 	m.claims.fail = func() error { return m.sometimes(errkind.StoreUnavailable) }
@@ -81,20 +81,20 @@
 	return nil
 }
 
-// send is a command: requests with one key, to both instances at once or to
-// one, with callers that may go away.
+// send is a command that sends a request with the key to one instance, or to both
+// at once. The callers may disconnect.
 type send struct {
-	profile  string
-	key      int
-	deadline time.Duration
-	goesAway time.Duration // 0 = stays
-	both     bool
-	poison   bool
-	wait     bool // for the answers, before the next command
+	profile         string
+	key             int
+	deadline        time.Duration
+	disconnectAfter time.Duration // time after which the caller disconnects; 0 = never
+	both            bool
+	poison          bool // the request crashes targets
+	wait            bool // wait for the answers before the next command
 }
 
 func (c send) String() string {
-	return fmt.Sprintf("send(%s key=%d deadline=%v goesAway=%v both=%v poison=%v wait=%v)", c.profile, c.key, c.deadline, c.goesAway, c.both, c.poison, c.wait)
+	return fmt.Sprintf("send(%s key=%d deadline=%v goesAway=%v both=%v poison=%v wait=%v)", c.profile, c.key, c.deadline, c.disconnectAfter, c.both, c.poison, c.wait)
 }
 
 func (c send) Run(sut commands.SystemUnderTest) commands.Result {
@@ -117,7 +117,7 @@
 }
 
 func (m *machine) start(c send, runner *Runner) {
-	s := &sent{req: m.request(c.profile, fmt.Sprintf("%s-%d", c.profile, c.key))}
+	s := &sentRequest{req: m.request(c.profile, fmt.Sprintf("%s-%d", c.profile, c.key))}
 	s.req.Deadline = s.req.Received.Add(c.deadline)
 	if c.poison {
 		s.req.Key += "-poison"
@@ -125,8 +125,8 @@
 	}
 	s.sink.onFrame = func() error { s.late = s.late || s.returned; return nil }
 	ctx, cancel := context.WithCancel(context.Background())
-	if c.goesAway > 0 {
-		time.AfterFunc(c.goesAway, cancel)
+	if c.disconnectAfter > 0 {
+		time.AfterFunc(c.disconnectAfter, cancel)
 	}
 	m.inFlight.Add(1)
 	go func() {
@@ -140,15 +140,16 @@
 	}()
 }
 
-// weather is a command: the share of faults changes, or time passes.
-type weather struct {
+// setFaults is a command that changes the probability of faults and lets time
+// pass.
+type setFaults struct {
 	faults float64
 	pass   time.Duration
 }
 
-func (c weather) String() string { return fmt.Sprintf("weather(%.2f, %v)", c.faults, c.pass) }
+func (c setFaults) String() string { return fmt.Sprintf("setFaults(%.2f, %v)", c.faults, c.pass) }
 
-func (c weather) Run(sut commands.SystemUnderTest) commands.Result {
+func (c setFaults) Run(sut commands.SystemUnderTest) commands.Result {
 	m := sut.(*machine)
 	m.chanceMu.Lock()
 	m.faults = c.faults
@@ -157,10 +158,10 @@
 	return m
 }
 
-func (c weather) NextState(state commands.State) commands.State { return state }
-func (c weather) PreCondition(commands.State) bool              { return true }
+func (c setFaults) NextState(state commands.State) commands.State { return state }
+func (c setFaults) PreCondition(commands.State) bool              { return true }
 
-func (c weather) PostCondition(_ commands.State, result commands.Result) *gopter.PropResult {
+func (c setFaults) PostCondition(_ commands.State, result commands.Result) *gopter.PropResult {
 	return verdict(result.(*machine).wrong(false))
 }
 
@@ -171,8 +172,8 @@
 	return &gopter.PropResult{Status: gopter.PropFalse, Labels: wrong}
 }
 
-// wrong lists the broken promises. At the end, when nothing is under way, it
-// also holds the answers against the targets' records.
+// wrong lists the violated guarantees. At the end, when no request is running, it
+// also compares the answers with the runs that the targets recorded.
 func (m *machine) wrong(end bool) []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -206,8 +207,8 @@
 	return wrong
 }
 
-// wrong says what is wrong with one answer.
-func (s *sent) wrong() string {
+// wrong describes the violated guarantee of one answer, or returns "".
+func (s *sentRequest) wrong() string {
 	whole := wholeDraft(s.req)
 	switch {
 	case s.late:
@@ -232,10 +233,10 @@
 		"GoesAway": gen.Frequency(map[int]gopter.Gen{4: gen.Const(0), 1: gen.IntRange(1, 60)}),
 		"Both":     gen.Bool(), "Poison": gen.IntRange(0, 15), "Wait": gen.Bool(),
 	}).Map(func(g generated) send { return g.command() })
-	weathers := gopter.CombineGens(gen.Float64Range(0, 0.7), gen.IntRange(0, 2000)).Map(func(v []any) weather {
-		return weather{faults: v[0].(float64), pass: time.Duration(v[1].(int)) * time.Millisecond}
+	faultChanges := gopter.CombineGens(gen.Float64Range(0, 0.7), gen.IntRange(0, 2000)).Map(func(v []any) setFaults {
+		return setFaults{faults: v[0].(float64), pass: time.Duration(v[1].(int)) * time.Millisecond}
 	})
-	return gen.Weighted([]gen.WeightedGen{{Weight: 6, Gen: sends}, {Weight: 1, Gen: weathers}})
+	return gen.Weighted([]gen.WeightedGen{{Weight: 6, Gen: sends}, {Weight: 1, Gen: faultChanges}})
 }
 
 type generated struct {
@@ -245,17 +246,18 @@
 
 func (g generated) command() send {
 	c := send{profile: "draft", key: g.Key, deadline: time.Duration(g.DeadlineMS) * time.Millisecond,
-		goesAway: time.Duration(g.GoesAway) * time.Millisecond, both: g.Both, poison: g.Poison == 0, wait: g.Wait}
+		disconnectAfter: time.Duration(g.GoesAway) * time.Millisecond, both: g.Both, poison: g.Poison == 0, wait: g.Wait}
 	if g.Booking {
 		c.profile = "book"
 	}
 	return c
 }
 
-// TestMachine runs thousands of requests through two instances under every
-// fault at once. The promises: own, whole and contiguous answers, one answer a
-// request and nothing after it, "not run" only if nothing ran, at most one
-// booking a key, an end within the deadline.
+// TestMachine runs thousands of requests through two instances under random faults
+// of all kinds. It checks these guarantees: an answer belongs to its request and
+// is complete and contiguous; a request gets one answer and no frame after it;
+// "not run" is reported only if nothing ran; there is at most one booking per key;
+// a request ends within its deadline.
 func TestMachine(t *testing.T) {
 	requests, kinds := 0, make(map[string]int)
 	machineCommands := &commands.ProtoCommands{
@@ -282,16 +284,16 @@
 	parameters.MinSuccessfulTests, parameters.MinSize, parameters.MaxSize, parameters.MaxShrinkCount = 120, 30, 60, 20
 	synctest.Test(t, func(t *testing.T) {
 		properties := gopter.NewProperties(parameters)
-		properties.Property("promises hold", commands.Prop(machineCommands))
+		properties.Property("guarantees hold", commands.Prop(machineCommands))
 		properties.TestingRun(t)
 	})
 	t.Logf("%d requests: %v", requests, kinds)
 	if requests < 5000 || kinds["ok draft"] < requests/10 || kinds["ok book"] < requests/20 {
-		t.Error("too little was tried")
+		t.Error("too few requests were run or succeeded")
 	}
 }
 
-func endOfSent(s *sent) string {
+func endOfSent(s *sentRequest) string {
 	if s.err != nil {
 		return errkind.Of(s.err).String()
 	}
--- a/internal/pipeline/options.go
+++ b/internal/pipeline/options.go
@@ -25,28 +25,29 @@
 	DefaultMaxAttempts    = 5
 )
 
-// Options are the parts that a Runner uses.
+// Options holds the dependencies and limits of a Runner.
 type Options struct {
-	// Profiles returns the profile in force. A request keeps the version that
-	// it was admitted under, whatever comes into force meanwhile.
+	// Profiles returns the profile that is in force. A request keeps the version
+	// that it started with, even if another one comes into force meanwhile.
 	Profiles func(name string) (profile.Versioned, bool)
 	Gate     admission.Gate
 	Caller   stagecall.Caller
 	Claims   claim.Claimer
-	Remote   outcome.Remote    // nil: holders of claims are not asked
-	Crash    *crashguard.Guard // nil: nothing is refused
+	Remote   outcome.Remote    // nil: instances that hold claims are not asked for outcomes
+	Crash    *crashguard.Guard // nil: no request is refused
 	Clock    clock.Clock
 	Rand     *rand.Rand // used under the Runner's lock
-	Self     string     // id of this instance
-	Place    string
-	Region   string
+	Self     string     // ID of this instance
+	Place    string     // availability zone of this instance
+	Region   string     // region of this instance
 	Check    *invariant.Checker
-	// MaxAnswerBytes bounds the answer of each stage.
+	// MaxAnswerBytes is the maximum size of the answer of each stage.
 	MaxAnswerBytes int
-	// MaxAttempts bounds the attempts of one stage, hedges included.
+	// MaxAttempts is the maximum number of attempts of one stage, including
+	// hedges.
 	MaxAttempts int
-	// Report is told of every request's end, for service levels. It must not
-	// block. Its Outcome holds the stage reports also when err is set.
+	// Report is called at the end of every request, for service levels. It must
+	// not block. The Outcome holds the stage reports even if err is set.
 	Report  func(req Request, prof profile.Versioned, out Outcome, err error)
 	Logger  *event.Logger
 	Metrics *metrics.Registry
@@ -64,15 +65,15 @@
 	return o
 }
 
-// jitter returns a random duration between half of d and one and a half of it,
-// so that requests that failed together do not come back together.
+// jitter returns a random duration between 0.5 d and 1.5 d, so that requests that
+// failed at the same time are not retried at the same time.
 func (r *Runner) jitter(d time.Duration) time.Duration {
 	r.randMu.Lock()
 	defer r.randMu.Unlock()
 	return d/2 + time.Duration(r.opts.Rand.Int64N(int64(d)+1))
 }
 
-// chance reports true once in n calls on average.
+// chance returns true with a probability of 1/n.
 func (r *Runner) chance(n int) bool {
 	r.randMu.Lock()
 	defer r.randMu.Unlock()
--- a/internal/pipeline/pace.go
+++ b/internal/pipeline/pace.go
@@ -3,29 +3,33 @@
 import "time"
 
 const (
-	// behindFactor is how many times the usual time a token a stream must take
-	// to count as behind, and moveGain by how many times it must be expected to
-	// end sooner elsewhere. The estimate of what is left is rough, and a move
-	// costs the prompt once more.
-	behindFactor = 3
-	moveGain     = 2
-	// minSaving is what a move must save to be worth its own risk.
+	// behindFactor is the multiple of the usual time per token above which a
+	// stream counts as slow. minMigrationGain is the minimum ratio of the expected
+	// remaining time on the present target to that on another one. The estimate of
+	// the remaining time is rough, and a migration costs the processing of the
+	// prompt once more.
+	behindFactor     = 3
+	minMigrationGain = 2
+	// minSaving is the time that a migration must be expected to save to justify
+	// its risk.
 	minSaving = 100 * time.Millisecond
-	// minPaceWait is the shortest wait after which an overdue frame is looked
-	// at, so that a pause of this process is not taken for a slow target.
+	// minPaceWait is the shortest wait before an overdue frame is examined, so
+	// that a pause of this process is not mistaken for a slow target.
 	minPaceWait = 50 * time.Millisecond
-	// maxMoves of one stage: when a second target is as slow, the next will be.
-	maxMoves = 2
+	// maxMigrations is the maximum number of migrations of one stage: if a second
+	// target is as slow as the first, a third probably is too.
+	maxMigrations = 2
 )
 
-// pace is how fast an attempt's stream goes. It belongs to the stage.
+// pace measures the speed of an attempt's stream. It is accessed by the stage's
+// goroutine only.
 type pace struct {
-	tokens int           // taken, those of the first frame included
-	later  int           // taken after the first frame
-	last   int           // in the latest frame
-	waited time.Duration // for the later frames
-	at     time.Time     // when the latest frame was taken
-	told   bool          // the gate knows that it is behind
+	tokens   int           // tokens received, including those of the first frame
+	later    int           // tokens received after the first frame
+	last     int           // tokens in the latest frame
+	waited   time.Duration // total wait for the frames after the first
+	at       time.Time     // when the latest frame was accepted
+	reported bool          // the gate has been informed that the stream is slow
 }
 
 func (p *pace) add(sig signal, now time.Time) {
@@ -38,36 +42,40 @@
 	p.at = now
 }
 
-// perToken is the least time a token that the stream can have, if its next
-// frame came now and were as long as the latest.
+// perToken returns a lower bound of the stream's time per token: the value that
+// results if the next frame arrives now and is as long as the latest.
 func (p *pace) perToken(now time.Time) time.Duration {
 	tokens := max(p.later+p.last, 1)
 	return (p.waited + now.Sub(p.at)) / time.Duration(tokens)
 }
 
-// watchPace has the owner looked at again if its next frame is overdue.
+// watchPace starts the timer that checks the pace of the attempt when its next
+// frame is overdue.
 func (s *stageRun) watchPace(a *attempt) {
 	stopTimer(&s.paceTimer)
-	if !s.mayMove(a) {
+	if !s.mayMigrate(a) {
 		return
 	}
 	due := behindFactor * a.usual.PerToken * time.Duration(max(a.pace.last, 1))
 	s.paceTimer = s.x.r.opts.Clock.NewTimer(max(due, minPaceWait))
 }
 
-// mayMove: only what is idempotent, while the caller waits, and never a request
-// that may have crashed a target.
-func (s *stageRun) mayMove(a *attempt) bool {
-	return s.stage.Idempotent && !s.detached && a.usual.PerToken > 0 && s.mover == nil && s.moves < maxMoves &&
-		len(s.attempts) < s.x.r.opts.MaxAttempts && !s.x.over() && !s.x.r.opts.Crash.Suspect(s.x.fingerprint)
+// mayMigrate reports whether the attempt's stream may be migrated to another
+// target: only for idempotent stages, while the caller is waiting, and never for a
+// request that is suspected of crashing targets.
+func (s *stageRun) mayMigrate(a *attempt) bool {
+	return s.stage.Idempotent && !s.detached && a.usual.PerToken > 0 && s.replacement == nil && s.migrations < maxMigrations &&
+		len(s.attempts) < s.x.r.opts.MaxAttempts && !s.x.ended() && !s.x.r.opts.Crash.Suspect(s.x.fingerprint)
 }
 
-// checkPace looks at the owner when its next frame is overdue. Without this a
-// stream that began on a straggler stays there to its end: one would see it in
-// the waits between tokens, several times the usual, and in a late answer.
+// checkPace examines the primary attempt when its next frame is overdue, and
+// starts a replacement on another target if that is expected to finish much
+// sooner. Without this a stream that began on a straggler stays there to its end,
+// which shows as waits between tokens of several times the usual and as a late
+// answer.
 func (s *stageRun) checkPace() {
-	a := s.owner
-	if a == nil || !s.mayMove(a) {
+	a := s.primary
+	if a == nil || !s.mayMigrate(a) {
 		return
 	}
 	now := s.x.now()
@@ -76,29 +84,30 @@
 		s.watchPace(a)
 		return
 	}
-	if !a.pace.told {
-		a.pace.told = true
+	if !a.pace.reported {
+		a.pace.reported = true
 		a.slot.Pace(perToken)
 	}
-	if !s.worthMoving(a, perToken) {
+	if !s.worthMigrating(a, perToken) {
 		return
 	}
-	s.moves++
-	s.x.r.opts.Metrics.Counter(metricMoves).Add(1)
-	s.mover = s.launchWith(true, true, true)
-	s.mover.hedge, s.mover.move = false, true
+	s.migrations++
+	s.x.r.opts.Metrics.Counter(metricMigrations).Add(1)
+	s.replacement = s.launchWith(true, true, true)
+	s.replacement.hedge, s.replacement.replaces = false, true
 }
 
-// worthMoving compares the time to the end of the answer here and elsewhere.
-func (s *stageRun) worthMoving(a *attempt, perToken time.Duration) bool {
+// worthMigrating reports whether the rest of the answer is expected to take much
+// longer on the present target than on another one.
+func (s *stageRun) worthMigrating(a *attempt, perToken time.Duration) bool {
 	left := time.Duration(s.tokensLeft(a.usual.Tokens))
 	here := left * perToken
 	there := a.usual.FirstByte + left*a.usual.PerToken
-	return here >= moveGain*there && here-there >= minSaving
+	return here >= minMigrationGain*there && here-there >= minSaving
 }
 
-// tokensLeft estimates what is still to come: of an answer longer than the
-// usual one, a part of the usual.
+// tokensLeft estimates the number of tokens that are still to come. It is at
+// least a quarter of the usual length, for answers that are longer than usual.
 func (s *stageRun) tokensLeft(usual int) int {
 	const part = 4
 	written := 0
@@ -108,23 +117,24 @@
 	return max(usual-written, usual/part)
 }
 
-// endMove settles a move when one of its two attempts has ended. Frames of the
-// owner that came meanwhile were held back: the mover goes on from where the
-// answer was when it began, and its text need not be the owner's. If the owner
-// has all of the answer or the mover failed, they are taken; if the owner
-// failed, the mover goes on alone.
-func (s *stageRun) endMove(a *attempt, err error) error {
-	if s.mover == nil || (a != s.mover && a != s.owner) {
+// settleMigration ends a migration when the primary attempt or its replacement has
+// ended. Meanwhile the frames of the primary attempt have been held back, because
+// the replacement continues from the answer as it was when the replacement
+// started, and its text may differ. If the primary attempt has completed or the
+// replacement has failed, the held frames are accepted. If the primary attempt has
+// failed, the replacement continues alone and the held frames are dropped.
+func (s *stageRun) settleMigration(a *attempt, err error) error {
+	if s.replacement == nil || (a != s.replacement && a != s.primary) {
 		return nil
 	}
-	held := s.held
-	ownerGoesOn := a == s.mover && err != nil || a == s.owner && err == nil
-	s.mover, s.held = nil, nil
-	if !ownerGoesOn {
+	held := s.heldFrames
+	primaryContinues := a == s.replacement && err != nil || a == s.primary && err == nil
+	s.replacement, s.heldFrames = nil, nil
+	if !primaryContinues {
 		return nil
 	}
 	for _, sig := range held {
-		if err := s.take(sig); err != nil {
+		if err := s.accept(sig); err != nil {
 			return err
 		}
 	}
--- a/internal/pipeline/pace_test.go
+++ b/internal/pipeline/pace_test.go
@@ -14,7 +14,7 @@
 	"lynxhill.example/lynxhill/internal/wire/targetapi"
 )
 
-// planInTurn gives the calls of the draft stage one plan each.
+// planInTurn applies the plans to the calls of the draft stage in turn.
 func planInTurn(plans ...memtarget.Plan) func(stagecall.Target, targetapi.RunRequest) memtarget.Plan {
 	return func(_ stagecall.Target, req targetapi.RunRequest) memtarget.Plan {
 		if req.Stage != stageDraft || len(plans) == 0 {
@@ -26,31 +26,31 @@
 	}
 }
 
-// Symptom: one answer in twenty takes eight times as long, with eight times the
-// usual wait between its tokens. Events: a stream begins on a straggler.
-// Cause: only silence ends a stream, and a straggler is never silent.
-func TestStreamFarBehindMoves(t *testing.T) {
+// Guards against a stream that starts on a straggler and stays there: if only
+// silence ended a stream, one answer in twenty would take eight times as long,
+// because a straggler is never silent.
+func TestSlowStreamIsMigrated(t *testing.T) {
 	slow := memtarget.Plan{Fault: memtarget.Straggle, Slow: 100} // a frame each 250 ms instead of 2.5 ms
 	slower := memtarget.Plan{Fault: memtarget.Straggle, Slow: 115}
 	rows := []struct {
-		story   string
+		name    string
 		plans   []memtarget.Plan
-		refuse  bool // no slot for a move
+		refuse  bool // no slot for a migration
 		runs    int
 		resumed bool
 		within  time.Duration
 	}{
 		{"the rest comes from another target", []memtarget.Plan{slow}, false, 2, true, 400 * time.Millisecond},
-		{"no other target has room: the straggler's frames are all taken", []memtarget.Plan{slow}, true, 1, false, 6 * time.Second},
+		{"no other target has capacity: all frames of the straggler are accepted", []memtarget.Plan{slow}, true, 1, false, 6 * time.Second},
 		{"the other target breaks off before its first frame", []memtarget.Plan{slow, {Fault: memtarget.LostReply}}, false, 3, true, time.Second},
 		{"the other target breaks off after frames of the straggler were held back", []memtarget.Plan{slow, {Fault: memtarget.LostReply, Service: 6 * time.Second}}, false, 3, true, time.Second},
-		{"the straggler breaks while the other has not begun", []memtarget.Plan{{Fault: memtarget.LostReply, Slow: 100}, slower}, false, 3, true, 2 * time.Second},
-		{"each of the others is as slow: moves are bounded", []memtarget.Plan{slow, slow, slow}, false, 3, true, 6 * time.Second},
+		{"the straggler fails before the other target has sent a frame", []memtarget.Plan{{Fault: memtarget.LostReply, Slow: 100}, slower}, false, 3, true, 2 * time.Second},
+		{"all other targets are as slow: the number of migrations is bounded", []memtarget.Plan{slow, slow, slow}, false, 3, true, 6 * time.Second},
 	}
 	for _, row := range rows {
-		t.Run(row.story, func(t *testing.T) {
+		t.Run(row.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newWorld(memtarget.Options{Plan: planInTurn(row.plans...)})
+				w := newTestEnv(memtarget.Options{Plan: planInTurn(row.plans...)})
 				w.gate.timeouts.Usual = admission.Usual{FirstByte: 3 * time.Millisecond, PerToken: 2500 * time.Microsecond, Tokens: 20}
 				if row.refuse {
 					w.gate.refuse = refuseRepeats
@@ -78,15 +78,15 @@
 	}
 }
 
-// Symptom: a straggler keeps getting new streams. Cause: the gate learns of its
-// pace only when streams end.
+// Guards against a straggler that keeps getting new streams because the gate is
+// informed of its pace only when streams end.
 func TestGateLearnsOfPaceWhileStreamRuns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(memtarget.Options{Plan: planInTurn(memtarget.Plan{Fault: memtarget.Straggle, Slow: 100})})
+		w := newTestEnv(memtarget.Options{Plan: planInTurn(memtarget.Plan{Fault: memtarget.Straggle, Slow: 100})})
 		w.gate.timeouts.Usual = admission.Usual{FirstByte: 3 * time.Millisecond, PerToken: 2500 * time.Microsecond, Tokens: 20}
 		w.gate.refuse = func(want admission.Want) error {
 			if want.Repeat && len(w.gate.paces) == 0 {
-				t.Error("a move was asked for before the gate knew why")
+				t.Error("a migration was requested before the gate was informed of the slow pace")
 			}
 			if want.Repeat {
 				return errkind.New(errkind.Overloaded, "no room")
@@ -97,15 +97,15 @@
 			t.Fatal(err)
 		}
 		if len(w.gate.paces) != 1 || w.gate.paces[0] < 20*time.Millisecond {
-			t.Errorf("paces told: %v, want one far above 2.5 ms a token", w.gate.paces)
+			t.Errorf("reported paces: %v, want one far above 2.5 ms per token", w.gate.paces)
 		}
 	})
 }
 
-// A stream of a usual pace stays where it is.
-func TestUsualPaceStays(t *testing.T) {
+// A stream with the usual pace is not migrated.
+func TestStreamOfUsualPaceIsNotMigrated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(memtarget.Options{})
+		w := newTestEnv(memtarget.Options{})
 		w.gate.timeouts.Usual = admission.Usual{FirstByte: 3 * time.Millisecond, PerToken: 2 * time.Millisecond, Tokens: 20}
 		if _, err := w.runner.Run(t.Context(), w.request("draft", "k"), new(recorder)); err != nil {
 			t.Fatal(err)
@@ -116,13 +116,13 @@
 	})
 }
 
-// Symptom: the end of an answer is missing. Events: a move is under way and the
-// straggler's last frames are held back; the straggler ends before the other
-// target has begun. Cause: what was held back is dropped.
-func TestStragglerEndsFirst(t *testing.T) {
+// Guards against an answer without its end: the straggler's last frames are held
+// back during a migration and must not be dropped if the straggler completes
+// before the other target has sent a frame.
+func TestStragglerCompletesBeforeReplacement(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		slow := memtarget.Plan{Fault: memtarget.Straggle, Slow: 15} // frames at 250, 500 and 750 ms
-		w := newWorld(memtarget.Options{Frames: 3, Plan: planInTurn(slow, memtarget.Plan{Service: 1450 * time.Millisecond})})
+		w := newTestEnv(memtarget.Options{Frames: 3, Plan: planInTurn(slow, memtarget.Plan{Service: 1450 * time.Millisecond})})
 		w.gate.timeouts.Usual = admission.Usual{FirstByte: 3 * time.Millisecond, PerToken: 2500 * time.Microsecond, Tokens: 20}
 		req := w.request("draft", "k")
 		sink := new(recorder)
@@ -131,13 +131,13 @@
 			t.Errorf("got %q, %v", sink.text, err)
 		}
 		if n := len(w.runsOf(stageDraft)); n != 2 || len(sink.offsets) < 3 {
-			t.Errorf("%d runs, frames %v: want a move that came too late", n, sink.offsets)
+			t.Errorf("%d runs, frames %v: want a migration that was started too late", n, sink.offsets)
 		}
 		w.noViolations(t)
 	})
 }
 
-// stallingCaller streams tokens at an even pace with one pause among them.
+// stallingCaller streams tokens at a constant pace with a single pause.
 type stallingCaller struct {
 	stagecall.Caller
 	clock clock.Clock
@@ -162,17 +162,18 @@
 	return stagecall.Result{Length: frames, Tokens: frames}, nil
 }
 
-// One late frame of a stream that was fast does not make its target a straggler.
+// A single late frame of an otherwise fast stream does not make its target a
+// straggler.
 func TestOneLateFrameIsNoStraggler(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(memtarget.Options{})
+		w := newTestEnv(memtarget.Options{})
 		w.runner.opts.Caller = stallingCaller{Caller: w.fleet, clock: w.clock}
 		w.gate.timeouts.Usual = admission.Usual{FirstByte: 20 * time.Millisecond, PerToken: 20 * time.Millisecond, Tokens: 400}
 		if _, err := w.runner.Run(t.Context(), w.request("draft", "k"), new(recorder)); err != nil {
 			t.Fatal(err)
 		}
 		if len(w.gate.paces) != 0 {
-			t.Errorf("paces told: %v", w.gate.paces)
+			t.Errorf("reported paces: %v", w.gate.paces)
 		}
 	})
 }
--- a/internal/pipeline/policy_test.go
+++ b/internal/pipeline/policy_test.go
@@ -13,13 +13,12 @@
 	"lynxhill.example/lynxhill/internal/wire/targetapi"
 )
 
-// Symptom: one request takes down target after target.
-// Events: it crashes each target that drafts it; its first stage is harmless;
-// the caller sends it again under new keys, others send theirs meanwhile.
-// Cause: retries, hedges and resends that carry it on.
+// Guards against a request that crashes one target after another by way of
+// retries, hedges and resends under new keys. Its first stage is harmless, and
+// other requests must not be affected.
 func TestPoisonStopsAfterTwoDeaths(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(memtarget.Options{Plan: func(_ stagecall.Target, req targetapi.RunRequest) memtarget.Plan {
+		w := newTestEnv(memtarget.Options{Plan: func(_ stagecall.Target, req targetapi.RunRequest) memtarget.Plan {
 			if req.Stage == stageDraft && req.Key != "good" {
 				return memtarget.Plan{Fault: memtarget.Die}
 			}
@@ -38,7 +37,7 @@
 			}
 		}
 		if runs := w.runsOf(stageDraft); len(runs) != 2 {
-			t.Errorf("%d targets met it", len(runs))
+			t.Errorf("%d targets ran the request", len(runs))
 		}
 		if _, err := w.runner.Run(t.Context(), w.request("draft", "good"), nil); err != nil {
 			t.Errorf("another request: %v", err)
@@ -46,13 +45,13 @@
 	})
 }
 
-// Symptom: accelerators are busy with requests that end late anyway.
-// Events: stages have slowed down to more than what remains.
-// Cause: no refusal before the first stage. A few must go through, or nothing
-// would show that the stages are fast again.
+// Guards against accelerator time spent on requests that cannot meet their
+// deadline because the stages have become slower than the remaining time. Such
+// requests are refused before the first stage, except for a few probes, without
+// which nothing would show that the stages have become fast again.
 func TestRefusesEarlyButProbes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(memtarget.Options{})
+		w := newTestEnv(memtarget.Options{})
 		w.gate.quantiles = map[string]time.Duration{stageEncode: 4 * time.Second, stageDraft: 7 * time.Second}
 		const requests = 400
 		probes := 0
@@ -66,7 +65,7 @@
 			}
 		}
 		if probes < requests/probeOneIn/2 || probes > 2*requests/probeOneIn {
-			t.Errorf("%d of %d went through", probes, requests)
+			t.Errorf("%d of %d requests were run as probes", probes, requests)
 		}
 		w.gate.quantiles[stageDraft] = 5 * time.Second
 		if _, err := w.runner.Run(t.Context(), w.request("draft", "k"), nil); err != nil {
@@ -89,7 +88,7 @@
 	}
 	for _, row := range rows {
 		synctest.Test(t, func(t *testing.T) {
-			w := newWorld(memtarget.Options{})
+			w := newTestEnv(memtarget.Options{})
 			w.gate.quantiles = row.quantiles
 			prof := draftProfile()
 			if row.share > 0 {
@@ -101,25 +100,25 @@
 				t.Errorf("%s: %v, expected %v", row.name, got, row.want)
 			}
 			if got := x.stageDeadline(1).Sub(w.clock.Now()); got != 10*time.Second {
-				t.Errorf("%s: the last stage has %v, expected all", row.name, got)
+				t.Errorf("%s: the last stage has %v, expected all the remaining time", row.name, got)
 			}
 		})
 	}
 }
 
-// Symptom: a request fails with most of its time left. Events: the first attempt
-// of a stage meets a silent connection, which takes longer to show than the
-// stage's part of the deadline; or the queue takes longer than that part.
-// Cause: the repeat is refused for the part that the first attempt had.
+// Guards against a request that fails with most of its time left because a retry
+// is refused by the deadline of the stage's first attempt: either the first
+// attempt detects a silent connection only after the stage's part of the deadline,
+// or the queue takes longer than that part.
 func TestPartOfDeadlineDoesNotEndTheRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(memtarget.Options{Plan: faultOnce(stageEncode, memtarget.Plan{Fault: memtarget.Silent})})
+		w := newTestEnv(memtarget.Options{Plan: faultOnce(stageEncode, memtarget.Plan{Fault: memtarget.Silent})})
 		w.gate.timeouts.FirstByte = 6 * time.Second // the stage's part is 5 s
 		sink, req := new(recorder), w.request("draft", "k")
 		if _, err := w.runner.Run(t.Context(), req, sink); err != nil || sink.text != wholeDraft(req) {
 			t.Errorf("silence: %q, %v", sink.text, err)
 		}
-		w = newWorld(memtarget.Options{})
+		w = newTestEnv(memtarget.Options{})
 		refused := false
 		w.gate.refuse = func(admission.Want) error {
 			if refused {
@@ -135,11 +134,11 @@
 	})
 }
 
-// Symptom: an instance runs out of memory on one answer.
+// Guards against an instance that runs out of memory because of one large answer.
 func TestAnswerIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, prof := range []string{"draft", "book"} {
-			w := newWorld(memtarget.Options{})
+			w := newTestEnv(memtarget.Options{})
 			w.runner.opts.MaxAnswerBytes = 50
 			if _, err := w.runner.Run(t.Context(), w.request(prof, "k"), nil); !errkind.Is(err, errkind.AnswerTooLarge) {
 				t.Errorf("%s: %v", prof, err)
@@ -148,33 +147,34 @@
 	})
 }
 
-// Symptom: a fault multiplies the load. Events: the gate's budget for repeats
-// is spent. The caller is told of the first failure, not of the budget.
+// Guards against a fault that multiplies the load by retries. When the gate's
+// retry budget is exhausted, the caller gets the error of the first failure and
+// not that of the budget.
 func TestRepeatsKeepToTheBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(memtarget.Options{Plan: faultOnce(stageDraft, memtarget.Plan{Fault: memtarget.Break, AfterBytes: 20})})
+		w := newTestEnv(memtarget.Options{Plan: faultOnce(stageDraft, memtarget.Plan{Fault: memtarget.Break, AfterBytes: 20})})
 		w.gate.refuse = refuseRepeats
 		sink := new(recorder)
 		if _, err := w.runner.Run(t.Context(), w.request("draft", "k"), sink); !errkind.Is(err, errkind.StreamBroken) {
 			t.Errorf("got %v", err)
 		}
 		if len(w.runsOf(stageDraft)) != 1 {
-			t.Error("repeated without budget")
+			t.Error("retried without budget")
 		}
 	})
 }
 
-// Symptom: "not run", yet a target's record shows a run. Events: an attempt has
-// its slot, the request is answered not_run, the attempt is dispatched. The
-// window is too short for a run of the whole; the rule is tested by itself.
+// Guards against a run on a target after the answer "not run": an attempt gets its
+// slot, the request is answered not_run, and the attempt is dispatched. The window
+// is too short to hit with a full run, so dispatches is tested on its own.
 func TestNoDispatchAfterTheAnswer(t *testing.T) {
 	var d dispatches
 	if !d.begin() {
 		t.Error("refused before the answer")
 	}
-	d.notRun()
+	d.undo()
 	if d.close() {
-		t.Error("the attempt was taken back, yet it counts")
+		t.Error("the attempt was undone but still counts")
 	}
 	if d.begin() {
 		t.Error("dispatched after the answer")
--- a/internal/pipeline/runner.go
+++ b/internal/pipeline/runner.go
@@ -19,18 +19,18 @@
 
 	randMu sync.Mutex // guards opts.Rand
 
-	background sync.WaitGroup // claimed attempts whose caller went away
+	background sync.WaitGroup // claimed attempts that continue without a caller
 }
 
 // New returns a runner.
 func New(opts Options) *Runner { return &Runner{opts: opts.withDefaults()} }
 
-// Wait returns when the attempts that go on without their callers have ended.
-// A stopping instance calls it before it exits.
+// Wait waits for the attempts that continue without their callers. A stopping
+// instance calls it before it exits.
 func (r *Runner) Wait() { r.background.Wait() }
 
-// BodyHash identifies what a request asks for: the same key with another hash
-// is refused.
+// BodyHash returns the SHA-256 hash of the request's profile and input as
+// hexadecimal digits. A request that reuses a key with another hash is refused.
 func BodyHash(req Request) string {
 	hash := sha256.New()
 	hash.Write([]byte(req.Profile))
@@ -39,11 +39,11 @@
 	return hex.EncodeToString(hash.Sum(nil))
 }
 
-// Run runs the request through the stages of its profile and returns its one
-// answer, or an error with a kind. When it returns, sink is not called any
-// more. When ctx ends, idempotent work is cancelled; a stage that is not
-// idempotent and was dispatched goes on until claimGrace after the deadline, so
-// that a resend gets its answer.
+// Run runs the request through the stages of its profile and returns its only
+// answer, or an error with an errkind.Kind. It does not call sink after it has
+// returned. When ctx ends, idempotent work is cancelled. A stage that is not
+// idempotent and has been dispatched continues until claimGrace after the
+// deadline, so that a resend of the request gets its answer.
 func (r *Runner) Run(ctx context.Context, req Request, sink Sink) (Outcome, error) {
 	prof, ok := r.opts.Profiles(req.Profile)
 	if !ok || prof.Deleted || len(prof.Profile.Stages) == 0 {
@@ -62,7 +62,7 @@
 	return out, err
 }
 
-// execution is one request under way.
+// execution is the state of a running request.
 type execution struct {
 	r           *Runner
 	req         Request
@@ -71,7 +71,7 @@
 	fingerprint string
 	bodyHash    string
 
-	// ctx ends when the caller goes away or the deadline passes; work ends
+	// ctx ends when the caller disconnects or the deadline passes. work ends
 	// claimGrace after the deadline.
 	ctx  *deadlineContext
 	work *deadlineContext
@@ -79,9 +79,9 @@
 	dispatches dispatches
 	reports    []StageReport
 	firstFrame time.Time
-	delivered  int // bytes given to the sink
+	delivered  int // bytes passed to the sink
 	tokens     int
-	repeated   bool // the answer is that of an earlier request
+	repeated   bool // the answer is the recorded one of an earlier request
 	finished   bool
 }
 
@@ -98,26 +98,27 @@
 	}
 }
 
-// release frees the contexts. Attempts in the background hold their own use of
-// the work context.
+// release releases the contexts. Attempts in the background hold their own
+// reference to the work context.
 func (x *execution) release() {
-	x.ctx.stop()
-	x.work.stop()
+	x.ctx.release()
+	x.work.release()
 }
 
 func (x *execution) now() time.Time { return x.r.opts.Clock.Now() }
 
 func (x *execution) remaining() time.Duration { return x.req.Deadline.Sub(x.now()) }
 
-// late reports whether the deadline has passed. The clock is asked as well as
+// late reports whether the deadline has passed. It checks the clock as well as
 // the context: the timers of the two contexts fire one after the other, and an
-// attempt that ended by the first is not the caller's doing.
+// attempt that the first one ended must not count as cancelled by the caller.
 func (x *execution) late() bool { return x.ctx.passed() || x.remaining() <= 0 }
 
-// over reports whether nothing new may be begun.
-func (x *execution) over() bool { return x.ctx.Err() != nil || x.remaining() <= 0 }
+// ended reports whether no new work may be started, because the caller has
+// disconnected or the deadline has passed.
+func (x *execution) ended() bool { return x.ctx.Err() != nil || x.remaining() <= 0 }
 
-// runStages returns the output of the last stage.
+// runStages runs the stages in order and returns the output of the last one.
 func (x *execution) runStages() (json.RawMessage, error) {
 	if x.r.opts.Crash.Refused(x.fingerprint) {
 		return nil, errkind.New(errkind.CrashesTargets, "targets died while running this request")
@@ -144,11 +145,13 @@
 	return output, nil
 }
 
+// stageDone records the report of a stage that has ended and passes it to the
+// sink while the caller is connected.
 func (x *execution) stageDone(s *stageRun, err error) {
 	report := s.report(err)
 	x.reports = append(x.reports, report)
 	x.tokens = s.tokens
-	if x.sink != nil && x.ctx.callerHere() {
+	if x.sink != nil && x.ctx.callerConnected() {
 		x.sink.StageDone(report)
 	}
 	if s.detached {
@@ -156,7 +159,7 @@
 	}
 }
 
-// deliver hands a piece of the answer to the caller.
+// deliver passes the next part of the answer to the sink.
 func (x *execution) deliver(text string) error {
 	if x.firstFrame.IsZero() {
 		x.firstFrame = x.now()
--- a/internal/pipeline/runner_test.go
+++ b/internal/pipeline/runner_test.go
@@ -12,7 +12,7 @@
 
 func TestStreamsTheLastStage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(memtarget.Options{})
+		w := newTestEnv(memtarget.Options{})
 		req := w.request("draft", "k")
 		sink := new(recorder)
 		out, err := w.runner.Run(context.Background(), req, sink)
@@ -35,7 +35,7 @@
 
 func TestAnswersWhole(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(memtarget.Options{})
+		w := newTestEnv(memtarget.Options{})
 		req := w.request("book", "k")
 		out, err := w.runner.Run(context.Background(), req, new(recorder))
 		if err != nil {
@@ -50,7 +50,7 @@
 
 func TestUnknownProfile(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(memtarget.Options{})
+		w := newTestEnv(memtarget.Options{})
 		_, err := w.runner.Run(context.Background(), w.request("nothing", "k"), nil)
 		if !errkind.Is(err, errkind.UnknownProfile) {
 			t.Errorf("got %v", err)
--- a/internal/pipeline/signals.go
+++ b/internal/pipeline/signals.go
@@ -8,6 +8,8 @@
 	"lynxhill.example/lynxhill/internal/stagecall"
 )
 
+// handle processes a signal of an attempt. done reports that the stage has its
+// result.
 func (s *stageRun) handle(sig signal) (output json.RawMessage, done bool, err error) {
 	switch sig.kind {
 	case signalStarted:
@@ -21,7 +23,7 @@
 	}
 }
 
-// onStarted notes the target and sets the time for a hedge.
+// onStarted records the target of an attempt and starts the timer for a hedge.
 func (s *stageRun) onStarted(sig signal) {
 	a := sig.attempt
 	a.choice, a.started, a.begun = sig.choice, true, s.x.now()
@@ -32,10 +34,11 @@
 	}
 }
 
-// mayHedge: only idempotent stages, once, and never a request that may have
-// crashed a target.
+// mayHedge reports whether a hedge is allowed: only for idempotent stages, once
+// per stage, while there is no primary attempt, and never for a request that is
+// suspected of crashing targets.
 func (s *stageRun) mayHedge() bool {
-	return s.stage.Idempotent && !s.hedged && s.owner == nil && !s.x.r.opts.Crash.Suspect(s.x.fingerprint)
+	return s.stage.Idempotent && !s.hedged && s.primary == nil && !s.x.r.opts.Crash.Suspect(s.x.fingerprint)
 }
 
 func (s *stageRun) launchHedge() {
@@ -47,27 +50,29 @@
 	s.launch(true, true)
 }
 
-// onFrame takes a frame of the one attempt that delivers. The first attempt to
-// send a frame becomes that attempt and the others are cancelled.
+// onFrame handles a frame. The first attempt that sends a frame becomes the
+// primary attempt and the others are cancelled, and so does a replacement with its
+// first frame. Frames of other attempts are dropped. While a replacement is
+// running, frames of the primary attempt are held back.
 func (s *stageRun) onFrame(sig signal) error {
 	a := sig.attempt
-	if (s.owner == nil || s.mover == a) && a.open && !a.lost {
-		s.choose(a)
+	if (s.primary == nil || s.replacement == a) && a.open && !a.superseded {
+		s.makePrimary(a)
 	}
-	if s.owner != a {
+	if s.primary != a {
 		return nil
 	}
-	if s.mover != nil {
-		s.held = append(s.held, sig)
+	if s.replacement != nil {
+		s.heldFrames = append(s.heldFrames, sig)
 		return nil
 	}
-	return s.take(sig)
+	return s.accept(sig)
 }
 
-// take adds a frame of the owner to the answer.
-func (s *stageRun) take(sig signal) error {
+// accept appends a frame of the primary attempt to the answer.
+func (s *stageRun) accept(sig signal) error {
 	a := sig.attempt
-	if !s.ownFrame(sig) {
+	if !s.checkFrame(sig) {
 		return errkind.New(errkind.Internal, "a frame did not fit the answer")
 	}
 	if len(s.text)+len(sig.frame.Text) > s.x.r.opts.MaxAnswerBytes {
@@ -76,28 +81,29 @@
 	a.delivered = true
 	s.text = append(s.text, sig.frame.Text...)
 	a.pace.add(sig, s.x.now())
-	if err := s.pass(sig.frame.Text); err != nil {
+	if err := s.forward(sig.frame.Text); err != nil {
 		return err
 	}
 	s.watchPace(a)
 	return nil
 }
 
-// ownFrame asserts that a frame is the owner's next one. The arguments of the
-// assertion are only made when it fails: they cost six allocations a frame.
-func (s *stageRun) ownFrame(sig signal) bool {
+// checkFrame asserts that a frame is the next one of the primary attempt. The
+// arguments of the assertion are only evaluated when it fails, because they cost
+// six allocations per frame.
+func (s *stageRun) checkFrame(sig signal) bool {
 	check, frame := s.x.r.opts.Check, &sig.frame
 	if frame.RequestID != s.x.req.ID || frame.AttemptID != sig.attempt.id {
-		return check.Check(false, invariant.OwnAnswer, "frame of %s/%s in attempt %s", frame.RequestID, frame.AttemptID, sig.attempt.id)
+		return check.Check(false, invariant.OwnAnswer, "received a frame of %s/%s in attempt %s", frame.RequestID, frame.AttemptID, sig.attempt.id)
 	}
 	if frame.Offset != len(s.text) {
-		return check.Check(false, invariant.OffsetsContiguous, "request %s: frame at %d, answer at %d", s.x.req.ID, frame.Offset, len(s.text))
+		return check.Check(false, invariant.OffsetsContiguous, "request %s: received a frame at offset %d, answer has %d bytes", s.x.req.ID, frame.Offset, len(s.text))
 	}
 	return true
 }
 
-// pass hands text of the last stage to the caller.
-func (s *stageRun) pass(text string) error {
+// forward delivers text to the caller if the stage is the last one.
+func (s *stageRun) forward(text string) error {
 	if !s.last || s.detached {
 		return nil
 	}
@@ -108,35 +114,37 @@
 	return nil
 }
 
-// choose makes a the only attempt that may deliver.
-func (s *stageRun) choose(a *attempt) {
-	s.owner = a
-	s.mover, s.held = nil, nil
+// makePrimary makes a the only attempt that may deliver and cancels the others.
+func (s *stageRun) makePrimary(a *attempt) {
+	s.primary = a
+	s.replacement, s.heldFrames = nil, nil
 	stopTimer(&s.hedgeTimer)
 	stopTimer(&s.paceTimer)
 	for _, other := range s.attempts {
 		if other != a && other.open {
-			other.lost = true
-			other.cancel(errOutrun)
+			other.superseded = true
+			other.cancel(errSuperseded)
 		}
 	}
 }
 
+// onEnded handles the end of an attempt. done reports that the stage has its
+// result.
 func (s *stageRun) onEnded(sig signal) (output json.RawMessage, done bool, err error) {
 	a := sig.attempt
 	a.open, a.ended = false, s.x.now()
 	a.cancel(nil)
-	if a.lost {
+	if a.superseded {
 		a.cost = sig.result.Cost
 		return nil, false, nil
 	}
-	if err := s.endMove(a, sig.err); err != nil {
+	if err := s.settleMigration(a, sig.err); err != nil {
 		return nil, true, err
 	}
-	if s.owner == a {
-		s.owner = nil
+	if s.primary == a {
+		s.primary = nil
 	}
-	if a.move && sig.err != nil && s.owner != nil {
+	if a.replaces && sig.err != nil && s.primary != nil {
 		a.notRun = stagecall.FailureOf(sig.err).NotRun
 		return nil, false, nil
 	}
@@ -147,14 +155,15 @@
 	return nil, err != nil, err
 }
 
-// onSuccess takes an attempt's whole answer.
+// onSuccess handles an attempt that returned its complete answer, and completes
+// the stage and its claim.
 func (s *stageRun) onSuccess(a *attempt, result stagecall.Result) (output json.RawMessage, done bool, err error) {
 	a.cost = result.Cost
 	if s.streams && result.Length != len(s.text) {
-		err := s.onFailure(a, protocolError("end mark says %d bytes, %d came", result.Length, len(s.text)))
+		err := s.onFailure(a, protocolError("end mark reports %d bytes, received %d", result.Length, len(s.text)))
 		return nil, err != nil, err
 	}
-	s.choose(a)
+	s.makePrimary(a)
 	s.winner, s.tokens = a, result.Tokens
 	output, err = s.output(result)
 	if err == nil && s.claim != nil {
--- a/internal/pipeline/stage.go
+++ b/internal/pipeline/stage.go
@@ -18,45 +18,46 @@
 	"lynxhill.example/lynxhill/internal/stagecall"
 )
 
-// signalBuffer lets a target's frames come in while the caller takes one.
+// signalBuffer is the number of signals that are buffered, so that frames can be
+// received from a target while an earlier one is being delivered.
 const signalBuffer = 16
 
-// errAnswerTooLarge ends a stage whose answer exceeds the limit.
+// errAnswerTooLarge is the error of a stage whose answer exceeds the limit.
 var errAnswerTooLarge = errors.New("answer exceeds the limit")
 
-// stageRun runs one stage. All its fields belong to the goroutine of run, but
-// for those that name another.
+// stageRun runs one stage. Its fields belong to the goroutine that executes run,
+// except those whose comment says otherwise.
 type stageRun struct {
 	x        *execution
 	index    int
 	stage    profile.Stage
 	last     bool
-	streams  bool // targets answer it as a stream
+	streams  bool // targets answer with a stream
 	previous json.RawMessage
 	started  time.Time
-	claim    claim.Claim // set while a stage that is not idempotent may run
+	claim    claim.Claim // set if the stage is not idempotent and was granted its claim
 
 	signals chan signal
-	left    chan struct{} // closed when nobody reads signals any more
+	closed  chan struct{} // closed when signals is no longer read
 
-	own dispatches // attempts of this stage that may have run; it has its own lock
+	own dispatches // attempts of this stage that may have run; has its own lock
 
-	attempts []*attempt
-	owner    *attempt           // the only attempt whose frames are taken
-	text     []byte             // of the answer so far, for a stage that streams
-	detached bool               // the caller has its answer; only the claim is served
-	failed   *stagecall.Failure // the latest
-	// wholeRest: the queue did not serve it within its part of the time, so it
-	// may take all that is left.
-	wholeRest bool
-	forgave   bool // targets whose connections failed may be tried again
+	attempts    []*attempt
+	primary     *attempt           // the only attempt whose frames are accepted
+	text        []byte             // answer so far, for a stage that streams
+	detached    bool               // the caller has its answer; the attempt continues for the claim only
+	lastFailure *stagecall.Failure // failure of the latest attempt that failed
+	// useAllTime is set if no slot was granted within the stage's part of the
+	// deadline; the stage may then use all the remaining time.
+	useAllTime    bool
+	allowExcluded bool // targets whose connections failed may be tried again
 
 	hedgeTimer  *quartz.Timer
-	repeatTimer *quartz.Timer
-	paceTimer   *quartz.Timer // the owner's next frame is overdue
-	mover       *attempt      // may take over from the owner
-	held        []signal      // frames of the owner that came since mover began
-	moves       int
+	retryTimer  *quartz.Timer
+	paceTimer   *quartz.Timer // fires when the primary attempt's next frame is overdue
+	replacement *attempt      // attempt on another target that may replace the primary one
+	heldFrames  []signal      // frames of the primary attempt since the replacement was started
+	migrations  int           // number of replacements started
 	hedged      bool
 	winner      *attempt
 	tokens      int
@@ -73,11 +74,11 @@
 		previous: previous,
 		started:  x.now(),
 		signals:  make(chan signal, signalBuffer),
-		left:     make(chan struct{}),
+		closed:   make(chan struct{}),
 	}
 }
 
-// run returns the stage's output.
+// run runs the stage and returns its output.
 func (s *stageRun) run() (json.RawMessage, error) {
 	if s.stage.Idempotent {
 		return s.runAttempts()
@@ -85,7 +86,7 @@
 	return s.runClaimed()
 }
 
-// runAttempts makes attempts until one succeeds or no further one is allowed.
+// runAttempts makes attempts until one succeeds or no further attempt is allowed.
 func (s *stageRun) runAttempts() (json.RawMessage, error) {
 	s.launch(false, false)
 	for {
@@ -94,17 +95,18 @@
 			continue
 		}
 		if !s.detached {
-			s.leave()
+			s.cancelAttempts()
 			s.releaseIfNotRun()
 		}
 		return output, err
 	}
 }
 
-// step waits for what happens next. done says that the stage has its result.
+// step waits for the next event and handles it. done reports that the stage has
+// its result.
 func (s *stageRun) step() (output json.RawMessage, done bool, err error) {
-	// An answer that is there already is taken before the deadline is looked
-	// at: select would choose between the two at random.
+	// An answer that has already arrived is handled before the deadline is
+	// checked: select would choose between the two at random.
 	select {
 	case sig := <-s.signals:
 		return s.handle(sig)
@@ -121,8 +123,8 @@
 		s.paceTimer = nil
 		s.checkPace()
 		return nil, false, nil
-	case <-timerChan(s.repeatTimer):
-		s.repeatTimer = nil
+	case <-timerChan(s.retryTimer):
+		s.retryTimer = nil
 		s.launch(true, false)
 		return nil, false, nil
 	case <-s.x.ctx.Done():
@@ -130,7 +132,7 @@
 	}
 }
 
-// timerChan returns the channel of a timer, nil for none.
+// timerChan returns the channel of a timer, or nil if there is no timer.
 func timerChan(t *quartz.Timer) <-chan time.Time {
 	if t == nil {
 		return nil
@@ -138,15 +140,15 @@
 	return t.C
 }
 
-// leave ends all attempts and lets their goroutines go.
-func (s *stageRun) leave() {
+// cancelAttempts cancels all attempts and unblocks their goroutines.
+func (s *stageRun) cancelAttempts() {
 	stopTimer(&s.hedgeTimer)
-	stopTimer(&s.repeatTimer)
+	stopTimer(&s.retryTimer)
 	stopTimer(&s.paceTimer)
 	for _, a := range s.attempts {
-		a.cancel(errLeft)
+		a.cancel(errStageEnded)
 	}
-	close(s.left)
+	close(s.closed)
 }
 
 func stopTimer(t **quartz.Timer) {
@@ -156,13 +158,13 @@
 	}
 }
 
-// launch starts an attempt. A repeat that takes no hedge's place is counted by
-// the failure before it.
-func (s *stageRun) launch(repeat, hedge bool) *attempt {
-	return s.launchWith(repeat, hedge, repeat && !hedge && s.failed != nil && notLoad(s.failed))
+// launch starts an attempt. A retry that is not a hedge is counted as a retry
+// after a fault if the failure before it was one.
+func (s *stageRun) launch(retry, hedge bool) *attempt {
+	return s.launchWith(retry, hedge, retry && !hedge && s.lastFailure != nil && isFault(s.lastFailure))
 }
 
-func (s *stageRun) launchWith(repeat, hedge, fault bool) *attempt {
+func (s *stageRun) launchWith(retry, hedge, fault bool) *attempt {
 	parent := context.Context(s.x.ctx)
 	if s.claim != nil {
 		parent = s.x.work
@@ -172,7 +174,7 @@
 		Query:    s.query(),
 		Priority: s.x.prof.Profile.Priority,
 		Provider: s.boundProvider(),
-		Repeat:   repeat,
+		Repeat:   retry,
 		Fault:    fault,
 		NoWait:   hedge,
 	}
@@ -192,8 +194,9 @@
 	return a
 }
 
-// boundProvider is the provider whose text the caller already has, "" while
-// there is none: another model would go on with another answer.
+// boundProvider returns the name of the provider whose text the caller has
+// already received, or "" if there is none. The model of another provider would
+// continue with a different answer.
 func (s *stageRun) boundProvider() string {
 	for _, a := range s.attempts {
 		if a.delivered {
@@ -216,63 +219,67 @@
 	}
 }
 
-// queueDeadline is by when an attempt that starts now should end. It is worked
-// out for each attempt: a repeat after a long silence would otherwise be refused
-// for the time that the first attempt had, with most of the request's time left.
+// queueDeadline returns the time by which an attempt that starts now should end.
+// It is computed for each attempt: otherwise a retry after a long silence would
+// be refused by the deadline of the first attempt, although most of the request's
+// time is left.
 func (s *stageRun) queueDeadline() time.Time {
-	if s.wholeRest {
+	if s.useAllTime {
 		return s.x.req.Deadline
 	}
 	return s.x.stageDeadline(s.index)
 }
 
-// excluded returns the targets that this stage has tried, and those on which a
-// suspected request must not be. When no other target is left, those remain
-// whose connection failed: a connection says little of its target.
+// excluded returns the targets that this stage has tried and those that must not
+// run a request suspected of crashing targets. When no other target is left, the
+// ones whose connection failed may be tried again, because a failed connection
+// says little about its target.
 func (s *stageRun) excluded() []string {
 	var ids []string
 	for _, a := range s.attempts {
-		if a.started && !(s.forgave && a.connectionFailed) {
+		if a.started && !(s.allowExcluded && a.connectionFailed) {
 			ids = append(ids, a.choice.Target.ID)
 		}
 	}
-	if s.forgave {
+	if s.allowExcluded {
 		return ids
 	}
 	return append(ids, s.x.r.opts.Crash.Occupied(s.x.fingerprint)...)
 }
 
-// beginDispatch is called by an attempt's goroutine just before the call. It
-// returns false if the call must not be made.
+// beginDispatch is called by an attempt's goroutine immediately before the call.
+// It returns false if the call must not be made.
 func (s *stageRun) beginDispatch() bool {
-	allowed := s.stage.Idempotent || (s.claim != nil && !s.own.any())
+	allowed := s.stage.Idempotent || (s.claim != nil && !s.own.mayHaveRun())
 	if !s.x.r.opts.Check.Check(allowed, invariant.ClaimBeforeDispatch,
-		"stage %s of request %s: no claim, or a second dispatch", s.stage.Name, s.x.req.ID) {
+		"stage %s of request %s: dispatch without a claim, or second dispatch", s.stage.Name, s.x.req.ID) {
 		return false
 	}
 	if !s.own.begin() {
 		return false
 	}
 	if !s.x.dispatches.begin() {
-		s.own.notRun()
+		s.own.undo()
 		return false
 	}
 	return true
 }
 
-// endNotRun is called by an attempt's goroutine when the attempt is proven not
-// to have run.
+// endNotRun is called by an attempt's goroutine when it is proven that the
+// attempt has not run.
 func (s *stageRun) endNotRun() {
-	s.own.notRun()
-	s.x.dispatches.notRun()
+	s.own.undo()
+	s.x.dispatches.undo()
 }
 
-// abandon ends the stage because the caller went away or the deadline passed.
+// abandon ends the stage because the caller has disconnected or the deadline has
+// passed.
 func (s *stageRun) abandon() error {
 	s.detach()
 	return s.endOfContext()
 }
 
+// endOfContext returns the error of a stage whose context has ended.
 func (s *stageRun) endOfContext() error {
 	if !s.x.late() {
 		return errkind.New(errkind.Cancelled, "the caller went away")
@@ -280,11 +287,11 @@
 	return errkind.New(errkind.DeadlineAfterRun, "the deadline passed in stage %s", s.stage.Name)
 }
 
-// openAttempts returns the number of attempts that may still win.
+// openAttempts returns the number of attempts that may still deliver the answer.
 func (s *stageRun) openAttempts() int {
 	n := 0
 	for _, a := range s.attempts {
-		if a.open && !a.lost {
+		if a.open && !a.superseded {
 			n++
 		}
 	}
