--- a/internal/target/bench_test.go
+++ b/internal/target/bench_test.go
@@ -13,7 +13,8 @@
 	"lynxhill.example/lynxhill/internal/wire/targetapi"
 )
 
-// benchServer answers at once: a reply, or a stream of frames.
+// benchServer is a target that answers without delay, with a reply or a stream of
+// frames.
 func benchServer(b *testing.B, frames int) stagecall.Target {
 	b.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -54,7 +55,7 @@
 	}
 }
 
-// The allocations are those of both ends.
+// The reported allocations include those of the server.
 func BenchmarkCallWhole(b *testing.B)       { benchmarkCall(b, wholeRequest(), 0) }
 func BenchmarkCallStream1000(b *testing.B)  { benchmarkCall(b, streamRequest(), 1000) }
 func BenchmarkEventReader1000(b *testing.B) { benchmarkEvents(b, 1000) }
--- a/internal/target/call.go
+++ b/internal/target/call.go
@@ -18,7 +18,7 @@
 	"lynxhill.example/lynxhill/internal/stagecall"
 )
 
-// Causes with which a call's context ends before its caller's.
+// Causes for which the context of a call is cancelled while its parent is not.
 var (
 	errSilentFirst    = errors.New("no first byte in time")
 	errSilentProgress = errors.New("no progress in time")
@@ -27,24 +27,24 @@
 
 // call is one HTTP exchange with a target.
 type call struct {
-	client *Client
-	target stagecall.Target
-	line   *line
-	parent context.Context
-	ctx    context.Context
-	cancel context.CancelCauseFunc
-	sent   atomic.Bool // a connection was had, so bytes may have been sent
-	watch  watchdog
+	client    *Client
+	target    stagecall.Target
+	transport *transport
+	parent    context.Context
+	ctx       context.Context
+	cancel    context.CancelCauseFunc
+	sent      atomic.Bool // the call got a connection, so bytes may have been sent
+	watch     watchdog
 }
 
-// begin prepares an exchange. end must be called once.
+// begin starts an exchange. The caller must call end exactly once.
 func (c *Client) begin(parent context.Context, target stagecall.Target, opts stagecall.Options) *call {
 	ctx, cancel := context.WithCancelCause(parent)
 	x := &call{client: c, target: target, parent: parent, cancel: cancel}
 	x.ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { x.sent.Store(true) },
 	})
-	x.line = c.pool.take(target.Address, opts.NewConnection)
+	x.transport = c.pool.acquire(target.Address, opts.NewConnection)
 	x.watch = watchdog{clock: c.opts.Clock, cancel: cancel}
 	x.watch.arm(opts.FirstByte, errSilentFirst)
 	if opts.FirstByte > 0 {
@@ -53,36 +53,37 @@
 	return x
 }
 
+// end releases the resources of the call.
 func (x *call) end() {
 	x.watch.stop()
 	x.cancel(nil)
-	x.client.pool.put(x.line, x)
+	x.client.pool.release(x.transport, x)
 }
 
-// retire keeps later calls off this call's connection.
-func (x *call) retire() { x.client.pool.retire(x.target.Address, x.line) }
+// retire prevents new calls on this call's connection.
+func (x *call) retire() { x.client.pool.retire(x.target.Address, x.transport) }
 
-// send makes the exchange. The body cannot be read a second time, so that
-// net/http cannot repeat the call on another connection.
+// send sends the request and returns the response. The body can be read only once,
+// so that net/http cannot retry the call on another connection.
 func (x *call) send(method, path string, body any) (*http.Response, error) {
 	req, err := newRequest(x.ctx, method, "http://"+x.target.Address+path, body)
 	if err != nil {
 		return nil, &stagecall.Failure{Class: stagecall.ClassBadInput, NotRun: true, Err: err}
 	}
-	resp, err := x.line.transport.RoundTrip(req)
+	resp, err := x.transport.http.RoundTrip(req)
 	if err != nil {
 		return nil, x.failure(err)
 	}
 	return resp, nil
 }
 
-// onceBody hides the type of its reader: http.NewRequest would otherwise set
-// GetBody, and net/http would send the body again on a new connection when a
-// kept one breaks. A target would then run a call twice with one attempt id,
-// seen only in its own record.
-type onceBody struct{ io.Reader }
+// unreplayableBody hides the type of its reader. Otherwise http.NewRequest would
+// set GetBody, and net/http would resend the body on a new connection if a pooled
+// connection breaks. A target would then run a call twice with the same attempt
+// ID, and only the target could detect it.
+type unreplayableBody struct{ io.Reader }
 
-func (onceBody) Close() error { return nil }
+func (unreplayableBody) Close() error { return nil }
 
 func newRequest(ctx context.Context, method, url string, body any) (*http.Request, error) {
 	if body == nil {
@@ -92,7 +93,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("encode request: %w", err)
 	}
-	req, err := http.NewRequestWithContext(ctx, method, url, onceBody{bytes.NewReader(data)})
+	req, err := http.NewRequestWithContext(ctx, method, url, unreplayableBody{bytes.NewReader(data)})
 	if err != nil {
 		return nil, err
 	}
@@ -101,8 +102,8 @@
 	return req, nil
 }
 
-// failure classifies an error of the exchange. It says NotRun only if no
-// connection was had, since then no byte can have been sent.
+// failure classifies an error of the exchange. It sets NotRun only if the call did
+// not get a connection, because then no byte can have been sent.
 func (x *call) failure(err error) *stagecall.Failure {
 	var known *stagecall.Failure
 	if errors.As(err, &known) {
@@ -129,17 +130,18 @@
 	return f
 }
 
-// watchdog ends a call that makes no progress.
+// watchdog cancels a call that makes no progress.
 type watchdog struct {
 	clock  quartz.Clock
 	cancel context.CancelCauseFunc
 
 	mu    sync.Mutex // guards timer and armed
 	timer *quartz.Timer
-	armed uint64 // number of the latest arming: a timer that fired late is ignored
+	armed uint64 // number of calls of arm; a timer of an earlier call is ignored if it fires late
 }
 
-// arm waits wait for the next sign of life; 0 waits without end.
+// arm restarts the watchdog: it cancels the call with the cause unless arm is
+// called again within the wait. A wait of 0 disarms it.
 func (w *watchdog) arm(wait time.Duration, cause error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/target/control.go
+++ b/internal/target/control.go
@@ -16,7 +16,7 @@
 	var report targetapi.LoadReport
 	err := c.exchange(ctx, target, http.MethodGet, targetapi.PathLoad, nil, &report)
 	if err == nil {
-		c.noteLoad(target.Address, &report)
+		c.recordLoad(target.Address, &report)
 	}
 	return report, err
 }
@@ -41,7 +41,7 @@
 	return events, err
 }
 
-// exchange makes a short JSON call. into may be nil.
+// exchange makes a JSON call and decodes the reply into into, which may be nil.
 func (c *Client) exchange(ctx context.Context, target stagecall.Target, method, path string, body, into any) error {
 	x := c.begin(ctx, target, stagecall.Options{})
 	defer x.end()
@@ -63,8 +63,8 @@
 	return nil
 }
 
-// cancelLater tells a target in the background to stop an attempt. It is not
-// needed for correctness, it only saves the target work.
+// cancelLater asks the target in the background to stop an attempt. It is not
+// needed for correctness; it only saves the target work.
 func (c *Client) cancelLater(target stagecall.Target, attempt string) {
 	select {
 	case c.cancels <- struct{}{}:
--- a/internal/target/lost.go
+++ b/internal/target/lost.go
@@ -8,34 +8,37 @@
 	"time"
 )
 
-// errConnLost ends the calls of a connection that does not answer its pings.
+// errConnLost is the error of the calls on a connection that does not answer
+// pings.
 var errConnLost = errors.New("the connection does not answer pings")
 
-// net/http sends the pings; their answers count as heard. Its own time limit is
-// not used: it runs on while this process does not, so that after a pause it ends
-// connections whose answers have arrived and are not read yet.
+// net/http sends the pings, and their responses count as bytes read. Its own ping
+// timeout is not used, because it continues to run while this process is paused:
+// after a pause it would close connections whose responses have arrived but have
+// not been read yet.
 const (
 	pingTimeoutOff = 24 * time.Hour
-	// lostLooks is the number of intervals in a row in which nothing was heard before
-	// a connection counts as lost.
-	lostLooks = 4
-	// heldLooks is that number while the connection has calls that may not be
-	// repeated. Ending one leaves its outcome unknown for good, and its target may
-	// only have been paused.
-	heldLooks = 5 * lostLooks
-	// calmLooks is the number of intervals between looks while the connection is
-	// heard, which the pings bring about.
-	calmLooks = lostLooks / 2
+	// lostIntervals is the number of consecutive intervals without bytes read after
+	// which a connection counts as lost.
+	lostIntervals = 4
+	// lostIntervalsInUse is that number while the connection has calls that may not
+	// be retried. Ending such a call leaves its outcome unknown for good, and its
+	// target may only have been paused.
+	lostIntervalsInUse = 5 * lostIntervals
+	// activeIntervals is the number of intervals between checks while bytes are
+	// being read, which the pings ensure on a healthy connection.
+	activeIntervals = lostIntervals / 2
 )
 
-// hearingConn counts what is read from it, and closes when it is lost.
-type hearingConn struct {
+// monitoredConn counts the bytes that are read from it, and closes itself when the
+// connection is lost.
+type monitoredConn struct {
 	net.Conn
-	line  *line
-	every time.Duration // interval of the looks
+	transport *transport
+	interval  time.Duration // unit of the time between checks
 
-	heard atomic.Int64 // bytes read
-	lost  atomic.Bool
+	bytesRead atomic.Int64 // bytes read
+	lost      atomic.Bool
 
 	mu     sync.Mutex // guards timer and closed
 	timer  *time.Timer
@@ -43,21 +46,22 @@
 }
 
 // Read implements net.Conn.
-func (c *hearingConn) Read(p []byte) (int, error) {
+func (c *monitoredConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	c.heard.Add(int64(n))
-	c.line.heard.Add(int64(n))
-	return n, c.reason(err)
+	c.bytesRead.Add(int64(n))
+	c.transport.bytesRead.Add(int64(n))
+	return n, c.mapError(err)
 }
 
 // Write implements net.Conn.
-func (c *hearingConn) Write(p []byte) (int, error) {
+func (c *monitoredConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
-	return n, c.reason(err)
+	return n, c.mapError(err)
 }
 
-// reason returns why the connection failed.
-func (c *hearingConn) reason(err error) error {
+// mapError returns errConnLost in place of an error that followed from the
+// connection being lost.
+func (c *monitoredConn) mapError(err error) error {
 	if err != nil && c.lost.Load() {
 		return errConnLost
 	}
@@ -65,7 +69,7 @@
 }
 
 // Close implements net.Conn.
-func (c *hearingConn) Close() error {
+func (c *monitoredConn) Close() error {
 	c.mu.Lock()
 	c.closed = true
 	c.timer.Stop()
@@ -73,9 +77,10 @@
 	return c.Conn.Close()
 }
 
-// lookLater looks at the connection after the interval, or several while it was
-// heard. heard is what had been read and silent the intervals without any up to now.
-func (c *hearingConn) lookLater(heard int64, silent int) {
+// scheduleCheck schedules a check of the connection after one interval, or after
+// activeIntervals while bytes are being read. bytesRead is the number of bytes read
+// up to now, and silent is the number of latest intervals in which none were read.
+func (c *monitoredConn) scheduleCheck(bytesRead int64, silent int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
@@ -83,30 +88,30 @@
 	}
 	intervals := 1
 	if silent == 0 {
-		intervals = calmLooks
+		intervals = activeIntervals
 	}
-	began, wait := time.Now(), time.Duration(intervals)*c.every
+	began, wait := time.Now(), time.Duration(intervals)*c.interval
 	c.timer = time.AfterFunc(wait, func() {
 		late := time.Since(began) >= 2*wait
-		c.look(heard, silent, intervals, late)
+		c.check(bytesRead, silent, intervals, late)
 	})
 }
 
-// look closes the connection once enough intervals passed without anything heard.
-// Those of a late look do not count: the process was paused, and what has arrived is
-// not read yet.
-func (c *hearingConn) look(heard int64, silent, intervals int, late bool) {
-	now := c.heard.Load()
+// check closes the connection after enough intervals without bytes read. The
+// intervals of a late check do not count: this process was paused, and what has
+// arrived may not have been read yet.
+func (c *monitoredConn) check(bytesRead int64, silent, intervals int, late bool) {
+	now := c.bytesRead.Load()
 	switch {
-	case now != heard:
+	case now != bytesRead:
 		silent = 0
 	case !late:
 		silent += intervals
 	}
-	if silent >= lostLooks && (silent >= heldLooks || !c.line.giveUp(errConnLost)) {
+	if silent >= lostIntervals && (silent >= lostIntervalsInUse || !c.transport.abandon(errConnLost)) {
 		c.lost.Store(true)
 		_ = c.Close()
 		return
 	}
-	c.lookLater(now, silent)
+	c.scheduleCheck(now, silent)
 }
--- a/internal/target/lost_test.go
+++ b/internal/target/lost_test.go
@@ -16,11 +16,12 @@
 	"lynxhill.example/lynxhill/internal/wire/targetapi"
 )
 
-// pausedProcess tells the test binary that it is the process that is paused.
+// pausedProcess is the environment variable that makes the test binary run as the
+// process that is paused.
 const pausedProcess = "LYNXHILL_TEST_PAUSED"
 
-// Guards against a call that may not be repeated ending as "may have run" because
-// this process was paused while the answer to a ping was on its way.
+// Guards against a call that may not be retried ending as "may have run" because
+// this process was paused while the response to a ping was in transit.
 func TestPauseDoesNotEndCalls(t *testing.T) {
 	if os.Getenv(pausedProcess) != "" {
 		callThroughPauses(t)
@@ -49,8 +50,8 @@
 	}
 }
 
-// callThroughPauses makes one call of several seconds, on a connection whose pings
-// are answered after 0.2 s.
+// callThroughPauses makes a call of 5 s on a connection whose ping responses are
+// delayed by 0.2 s.
 func callThroughPauses(t *testing.T) {
 	dial := func(ctx context.Context, network, addr string) (net.Conn, error) {
 		conn, err := new(net.Dialer).DialContext(ctx, network, addr)
@@ -68,7 +69,8 @@
 	}
 }
 
-// delayedConn delays what is read by time in which the process runs.
+// delayedConn delays reads by 0.2 s in short sleeps, so that a pause of the process
+// does not count fully towards the delay.
 type delayedConn struct{ net.Conn }
 
 func (c delayedConn) Read(p []byte) (int, error) {
@@ -79,18 +81,19 @@
 	return n, err
 }
 
-// Guards against a call that may not be repeated ending as "may have run" because
-// its target was paused for longer than the pings wait. Other calls do not wait.
+// Guards against a call that may not be retried ending as "may have run" because
+// its target was paused for longer than the ping timeout. Calls that may be retried
+// end at the ping timeout.
 func TestStalledConnectionKeepsCallsThatMayNotBeRepeated(t *testing.T) {
-	gate := &stall{open: make(chan struct{})}
-	close(gate.open)
+	barrier := &readBarrier{open: make(chan struct{})}
+	close(barrier.open)
 	dialled := 0
 	dial := func(ctx context.Context, network, addr string) (net.Conn, error) {
 		conn, err := new(net.Dialer).DialContext(ctx, network, addr)
 		if dialled++; err != nil || dialled > 1 {
 			return conn, err
 		}
-		return stalledConn{conn, gate}, nil
+		return blockingConn{conn, barrier}, nil
 	}
 	started, finish := make(chan struct{}, 3), make(chan struct{})
 	s := newServer(t, func(w http.ResponseWriter, req targetapi.RunRequest) {
@@ -109,61 +112,61 @@
 		return ended
 	}
 	once, repeatable := run(stagecall.Options{}), run(stagecall.Options{FirstByte: time.Hour})
-	gate.close()
+	barrier.close()
 	if f := stagecall.FailureOf(<-repeatable); f.Class != stagecall.ClassBroken || !f.Connection {
-		t.Errorf("the call that may be repeated: %+v", f)
+		t.Errorf("the call that may be retried: %+v", f)
 	}
 	later := run(stagecall.Options{})
 	close(finish)
 	if err := <-later; err != nil {
-		t.Errorf("a call that came later: %v", err)
+		t.Errorf("a later call: %v", err)
 	}
 	time.Sleep(300 * time.Millisecond)
-	gate.reopen()
+	barrier.reopen()
 	if err := <-once; err != nil {
-		t.Errorf("the call that may not be repeated: %v", err)
+		t.Errorf("the call that may not be retried: %v", err)
 	}
 }
 
-// stall holds back what connections read while it is closed.
-type stall struct {
+// readBarrier blocks the reads of connections while it is closed.
+type readBarrier struct {
 	mu   sync.Mutex // guards open
 	open chan struct{}
 }
 
-func (s *stall) close() {
+func (s *readBarrier) close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.open = make(chan struct{})
 }
 
-func (s *stall) reopen() {
+func (s *readBarrier) reopen() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	close(s.open)
 }
 
-type stalledConn struct {
+type blockingConn struct {
 	net.Conn
-	stall *stall
+	barrier *readBarrier
 }
 
-func (c stalledConn) Read(p []byte) (int, error) {
+func (c blockingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	c.stall.mu.Lock()
-	open := c.stall.open
-	c.stall.mu.Unlock()
+	c.barrier.mu.Lock()
+	open := c.barrier.open
+	c.barrier.mu.Unlock()
 	<-open
 	return n, err
 }
 
 // Guards against a connection counting as lost because this process was paused.
-func TestLateLookDoesNotCount(t *testing.T) {
+func TestLateCheckDoesNotCount(t *testing.T) {
 	for _, late := range []bool{true, false} {
 		conn, _ := net.Pipe()
-		c := &hearingConn{Conn: conn, line: &line{pool: newPool(Options{}), transport: &http.Transport{}}, every: time.Hour}
-		c.lookLater(0, lostLooks-1)
-		c.look(0, lostLooks-1, 1, late)
+		c := &monitoredConn{Conn: conn, transport: &transport{pool: newPool(Options{}), http: &http.Transport{}}, interval: time.Hour}
+		c.scheduleCheck(0, lostIntervals-1)
+		c.check(0, lostIntervals-1, 1, late)
 		if c.lost.Load() == late {
 			t.Errorf("late %v: lost %v", late, c.lost.Load())
 		}
--- a/internal/target/metrics.go
+++ b/internal/target/metrics.go
@@ -15,6 +15,7 @@
 
 const eventForeign = event.TargetForeignFrame
 
+// count counts a stage call by its result.
 func (c *Client) count(err error) {
 	label := "ok"
 	if err != nil {
--- a/internal/target/pool.go
+++ b/internal/target/pool.go
@@ -10,152 +10,155 @@
 )
 
 const (
-	// idleConnTimeout closes connections that carry no call. Each open one is
-	// pinged every second, about 114 bytes a ping with its answer and the
-	// headers below: 600 idle ones would cost an instance 68 KB a second.
+	// idleConnTimeout is the time after which a connection without calls is
+	// closed. Each open connection is pinged every second, which takes about 114
+	// bytes for the ping, its response and the headers of the lower layers: 600
+	// idle connections would cost an instance 68 KB per second.
 	idleConnTimeout = 10 * time.Second
-	// pruneAbove is the number of addresses above which entries that carry no
-	// call are dropped, so that targets long gone take no memory.
+	// pruneAbove is the number of addresses above which transports without calls
+	// are dropped, so that former targets do not use memory.
 	pruneAbove = 2048
 )
 
-// pool keeps one line a target. A line that has gone bad is retired: it takes
-// no new call, and its connection is closed when its last call has ended.
+// pool holds one transport per target address. A transport with a faulty
+// connection is retired: it gets no new calls, and its connection is closed at the
+// end of its last call.
 type pool struct {
-	opts  Options
-	mu    sync.Mutex // guards lines and the fields of each line
-	lines map[string]*line
+	opts       Options
+	mu         sync.Mutex // guards transports and the mutable fields of each transport
+	transports map[string]*transport
 }
 
-// line is a transport that serves one address, with the calls on it.
-type line struct {
-	pool      *pool
-	address   string
-	transport *http.Transport
-	heard     atomic.Int64 // bytes read from its connections
-	calls     int
-	retired   bool
-	watched   bool // a look at its silence is due
-	live      map[*call]struct{}
+// transport is the HTTP transport for one address, with its calls.
+type transport struct {
+	pool           *pool
+	address        string
+	http           *http.Transport
+	bytesRead      atomic.Int64 // bytes read from its connections
+	calls          int          // number of calls in progress
+	retired        bool
+	checkScheduled bool               // a check for silence is scheduled
+	retryable      map[*call]struct{} // the calls in progress that may be retried
 }
 
 func newPool(opts Options) *pool {
-	return &pool{opts: opts, lines: make(map[string]*line)}
+	return &pool{opts: opts, transports: make(map[string]*transport)}
 }
 
-// take returns the line of the address. fresh retires the present one first,
-// so that this call and later ones use a new connection: after a connection
-// went silent its other calls would meet the same silence.
-func (p *pool) take(address string, fresh bool) *line {
+// acquire returns the transport for the address. If newConnection is set, it
+// retires the present one first, so that this call and later ones do not use a
+// connection that may have gone silent.
+func (p *pool) acquire(address string, newConnection bool) *transport {
 	p.mu.Lock()
-	var idle []*line
-	l := p.lines[address]
-	if l != nil && fresh {
-		idle = p.retireLocked(address, l, idle)
-		l = nil
+	var idle []*transport
+	t := p.transports[address]
+	if t != nil && newConnection {
+		idle = p.retireLocked(address, t, idle)
+		t = nil
 	}
-	if l == nil {
+	if t == nil {
 		idle = p.pruneLocked(idle)
-		l = &line{pool: p, address: address, live: make(map[*call]struct{})}
-		l.transport = newTransport(p.opts, l)
-		p.lines[address] = l
+		t = &transport{pool: p, address: address, retryable: make(map[*call]struct{})}
+		t.http = newTransport(p.opts, t)
+		p.transports[address] = t
 	}
-	l.calls++
+	t.calls++
 	p.mu.Unlock()
 	closeAll(idle)
-	return l
+	return t
 }
 
-// put gives a line back after a call.
-func (p *pool) put(l *line, x *call) {
+// release releases a transport at the end of a call.
+func (p *pool) release(t *transport, x *call) {
 	p.mu.Lock()
-	l.calls--
-	delete(l.live, x)
-	idle := l.retired && l.calls == 0
+	t.calls--
+	delete(t.retryable, x)
+	idle := t.retired && t.calls == 0
 	p.mu.Unlock()
 	if idle {
-		l.transport.CloseIdleConnections()
+		t.http.CloseIdleConnections()
 	}
 }
 
-// retire lets no further call onto the line.
-func (p *pool) retire(address string, l *line) {
+// retire prevents new calls on the transport.
+func (p *pool) retire(address string, t *transport) {
 	p.mu.Lock()
-	idle := p.retireLocked(address, l, nil)
+	idle := p.retireLocked(address, t, nil)
 	p.mu.Unlock()
 	closeAll(idle)
 }
 
-// giveUp keeps further calls off the line, ends its calls that may be repeated with
-// the reason, and reports whether others remain.
-func (l *line) giveUp(reason error) (held bool) {
-	p := l.pool
+// abandon retires the transport, cancels its calls that may be retried with the
+// reason, and reports whether it still has calls that may not be retried.
+func (t *transport) abandon(reason error) (inUse bool) {
+	p := t.pool
 	p.mu.Lock()
-	idle := p.retireLocked(l.address, l, nil)
-	calls := slices.Collect(maps.Keys(l.live))
-	held = l.calls > len(l.live)
+	idle := p.retireLocked(t.address, t, nil)
+	calls := slices.Collect(maps.Keys(t.retryable))
+	inUse = t.calls > len(t.retryable)
 	p.mu.Unlock()
 	closeAll(idle)
 	for _, x := range calls {
 		x.cancel(reason)
 	}
-	return held
+	return inUse
 }
 
-// retireLocked adds the line to idle if its connection can be closed now, which
-// is left to the time after the lock.
-func (p *pool) retireLocked(address string, l *line, idle []*line) []*line {
-	l.retired = true
-	if p.lines[address] == l {
-		delete(p.lines, address)
+// retireLocked retires the transport and appends it to idle if it has no calls.
+// The caller must close the connections of idle after it has released the lock.
+func (p *pool) retireLocked(address string, t *transport, idle []*transport) []*transport {
+	t.retired = true
+	if p.transports[address] == t {
+		delete(p.transports, address)
 	}
-	if l.calls == 0 {
-		idle = append(idle, l)
+	if t.calls == 0 {
+		idle = append(idle, t)
 	}
 	return idle
 }
 
-func (p *pool) pruneLocked(idle []*line) []*line {
-	if len(p.lines) < pruneAbove {
+func (p *pool) pruneLocked(idle []*transport) []*transport {
+	if len(p.transports) < pruneAbove {
 		return idle
 	}
 	return p.retireIdleLocked(idle)
 }
 
-func (p *pool) retireIdleLocked(idle []*line) []*line {
-	for address, l := range p.lines {
-		if l.calls == 0 {
-			idle = p.retireLocked(address, l, idle)
+func (p *pool) retireIdleLocked(idle []*transport) []*transport {
+	for address, t := range p.transports {
+		if t.calls == 0 {
+			idle = p.retireLocked(address, t, idle)
 		}
 	}
 	return idle
 }
 
-// close retires every line: those in use are closed with their last call.
+// close retires all transports. Those in use are closed at the end of their last
+// call.
 func (p *pool) close() {
 	p.mu.Lock()
-	var idle []*line
-	for address, l := range p.lines {
-		idle = p.retireLocked(address, l, idle)
+	var idle []*transport
+	for address, t := range p.transports {
+		idle = p.retireLocked(address, t, idle)
 	}
 	p.mu.Unlock()
 	closeAll(idle)
 }
 
-func closeAll(idle []*line) {
-	for _, l := range idle {
-		l.transport.CloseIdleConnections()
+func closeAll(idle []*transport) {
+	for _, t := range idle {
+		t.http.CloseIdleConnections()
 	}
 }
 
-// newTransport speaks HTTP/2 without TLS and pings silent connections. The
-// retries that net/http makes on its own need a body that can be read again;
-// newRequest gives it none.
-func newTransport(opts Options, l *line) *http.Transport {
+// newTransport returns a transport that uses HTTP/2 without TLS and pings
+// connections on which nothing is received. net/http retries a request by itself only if its body can be read
+// again; newRequest makes bodies for which that is impossible.
+func newTransport(opts Options, t *transport) *http.Transport {
 	protocols := new(http.Protocols)
 	protocols.SetUnencryptedHTTP2(true)
 	return &http.Transport{
-		DialContext:        l.hearing(opts),
+		DialContext:        t.monitoredDial(opts),
 		Protocols:          protocols,
 		DisableCompression: true,
 		IdleConnTimeout:    idleConnTimeout,
--- a/internal/target/repeat_test.go
+++ b/internal/target/repeat_test.go
@@ -21,8 +21,8 @@
 	"lynxhill.example/lynxhill/internal/wire/targetapi"
 )
 
-// rawServer speaks just enough HTTP/2 to count whole requests and to answer
-// each as answer does.
+// rawServer implements just enough HTTP/2 to count complete requests and to call
+// answer for each of them.
 func rawServer(t *testing.T, answer func(conn net.Conn, framer *http2.Framer, stream uint32)) (stagecall.Target, *atomic.Int64) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -62,10 +62,10 @@
 	}
 }
 
-// Symptom: a target's record shows two runs with one attempt id.
-// Events: the target runs the call; then it, or something before it, resets
-// the stream as refused, says goodbye below it, or drops the connection.
-// Cause: net/http takes the call as not processed and sends its body again.
+// Guards against two runs of one attempt: the target runs the call, and then the
+// target or an intermediary resets the stream with REFUSED_STREAM, sends a GOAWAY
+// with a lower stream ID, or drops the connection. net/http would treat the call
+// as not processed and send its body again.
 func TestTransportNeverRepeatsACall(t *testing.T) {
 	answers := map[string]func(net.Conn, *http2.Framer, uint32){
 		"refused stream": func(_ net.Conn, f *http2.Framer, id uint32) { _ = f.WriteRSTStream(id, http2.ErrCodeRefusedStream) },
@@ -110,10 +110,10 @@
 	}{
 		{`{"code":"busy","ran":false}`, stagecall.ClassRefused, true},
 		{`{"code":"leaving","ran":false}`, stagecall.ClassRefused, true},
-		{`{"code":"busy"}`, stagecall.ClassFailed, false}, // does not say whether it ran
+		{`{"code":"busy"}`, stagecall.ClassFailed, false}, // does not report whether it ran
 		{`{"code":"busy","ran":true}`, stagecall.ClassFailed, false},
 		{`{"code":"bad_input","ran":false}`, stagecall.ClassBadInput, true},
-		{`{"error":"bad gateway"}`, stagecall.ClassFailed, false}, // not a target's words
+		{`{"error":"bad gateway"}`, stagecall.ClassFailed, false}, // not the format of a target
 		{`{"code":"busy","ran":false,"attempt_id":"other"}`, stagecall.ClassProtocol, false},
 	}
 	for _, row := range rows {
@@ -128,8 +128,9 @@
 	}
 }
 
-// Symptom: a caller gets another request's text. Events: frames cross on one
-// connection. Cause: ids not compared, or the connection used again.
+// Guards against a caller getting the text of another request when frames are mixed
+// up on a connection: the IDs must be compared and the connection must not be used
+// again.
 func TestForeignFramesEndTheConnection(t *testing.T) {
 	s := newServer(t, func(w http.ResponseWriter, req targetapi.RunRequest) {
 		if req.RequestID == "good" {
@@ -191,9 +192,9 @@
 	}
 }
 
-// Symptom: requests hang on a target until their deadline. Events: the target
-// or what stands between goes silent, before the first byte or between frames.
-// The attempt must end as silent and the target be told to stop.
+// Guards against requests that hang until their deadline when the target or an
+// intermediary goes silent before the first byte or between frames. The attempt
+// must end as silent, and the target must be asked to stop.
 func TestSilenceEndsTheAttempt(t *testing.T) {
 	release, reached := make(chan struct{}), make(chan struct{}, 3)
 	s := newServer(t, func(w http.ResponseWriter, req targetapi.RunRequest) {
@@ -233,13 +234,13 @@
 			return
 		}
 		if ctx.Err() != nil {
-			t.Fatal("the target was not told of all three")
+			t.Fatal("the target did not get all three cancel calls")
 		}
 	}
 }
 
-// advanceUntil lets the clock run until the call has ended. The call arms its
-// timeout after a frame at a moment that the test cannot see.
+// advanceUntil advances the clock until the call has ended. The call arms its
+// timeout after a frame, at a moment that the test cannot observe.
 func advanceUntil(t *testing.T, clk *quartz.Mock, ended <-chan error) error {
 	t.Helper()
 	for ctx := testContext(t); ctx.Err() == nil; time.Sleep(time.Millisecond) {
@@ -254,10 +255,10 @@
 	return nil
 }
 
-// Symptom: calls that may have been made are refused outside the error table.
-// Events: a target fails some calls; its neighbours under one service name are
-// refused by a breaker. Cause: httpc's breaker. This test is why this package
-// uses net/http by itself; should it fail after an update, weigh httpc anew.
+// Shows why this package uses net/http directly: httpc has a circuit breaker per
+// service name. When one target fails some calls, it refuses calls to the other
+// targets of the service, with errors outside of the error table. If this test
+// fails after an update of httpc, reconsider using it.
 func TestHttpcBreakerRefusesByItself(t *testing.T) {
 	logx.Disable()
 	service := httpc.NewServiceWithClient("service", &http.Client{Transport: busy{}})
@@ -273,7 +274,7 @@
 	}
 }
 
-// busy answers as a full target does.
+// busy is a transport that responds like a target without capacity.
 type busy struct{}
 
 func (busy) RoundTrip(*http.Request) (*http.Response, error) {
@@ -299,8 +300,8 @@
 	})
 }
 
-// FuzzRefusal: whatever a target or something before it answers, "not run" is
-// believed only if the body says so.
+// FuzzRefusal checks that "not run" is reported only if the body of the response
+// says so, whatever a target or an intermediary sends.
 func FuzzRefusal(f *testing.F) {
 	f.Add([]byte(`{"code":"busy","ran":false}`), false)
 	f.Add([]byte(`{"code":"busy"}`), false)
--- a/internal/target/run.go
+++ b/internal/target/run.go
@@ -23,15 +23,16 @@
 	result, err := x.run(req, opts, onFrame)
 	c.count(err)
 	if err != nil {
-		x.afterFailure(req, err)
+		x.cancelIfNeeded(req, err)
 		return stagecall.Result{}, err
 	}
-	c.noteLoad(target.Address, result.Load)
+	c.recordLoad(target.Address, result.Load)
 	return result, nil
 }
 
-// afterFailure tells the target to stop an attempt that nobody waits for.
-func (x *call) afterFailure(req targetapi.RunRequest, err error) {
+// cancelIfNeeded asks the target to stop an attempt that has failed on this side
+// and may still be running there.
+func (x *call) cancelIfNeeded(req targetapi.RunRequest, err error) {
 	if !x.sent.Load() {
 		return
 	}
@@ -56,13 +57,13 @@
 		return x.reply(resp, req)
 	}
 	if !strings.HasPrefix(resp.Header.Get("Content-Type"), eventStreamType) {
-		return stagecall.Result{}, x.protocol("reply to a stream is %q", resp.Header.Get("Content-Type"))
+		return stagecall.Result{}, x.protocol("reply to a streaming call has content type %q", resp.Header.Get("Content-Type"))
 	}
 	s := stream{call: x, req: req, opts: opts, onFrame: onFrame, offset: req.ResumeOffset}
 	return s.read(resp.Body)
 }
 
-// reply reads the whole answer of a call that does not stream.
+// reply reads the answer of a call that does not stream.
 func (x *call) reply(resp *http.Response, req targetapi.RunRequest) (stagecall.Result, error) {
 	data, err := x.readAll(resp.Body)
 	if err != nil {
@@ -73,7 +74,7 @@
 		return stagecall.Result{}, x.protocol("malformed reply: %v", err)
 	}
 	if reply.RequestID != req.RequestID || reply.AttemptID != req.AttemptID {
-		return stagecall.Result{}, x.foreign()
+		return stagecall.Result{}, x.foreignReply()
 	}
 	if len(reply.Output) == 0 {
 		return stagecall.Result{}, x.protocol("reply without output")
@@ -99,7 +100,8 @@
 	return data, nil
 }
 
-// refusal reads the body of an answer that is not 2xx.
+// refusal reads the body of a response whose status is not 2xx and returns it as
+// an error.
 func (x *call) refusal(resp *http.Response, req targetapi.RunRequest) error {
 	data, err := x.readAll(resp.Body)
 	if err != nil {
@@ -108,21 +110,22 @@
 	return x.refusalOf(data, req, fmt.Sprintf("status %d", resp.StatusCode), false)
 }
 
-// refusalBody is targetapi.Refusal with Ran as a pointer: a body that does not
-// say whether anything ran must not be read as "nothing ran".
+// refusalBody is targetapi.Refusal with Ran as a pointer, because a body without
+// the field must not be read as "nothing ran".
 type refusalBody struct {
 	targetapi.Refusal
 	Ran *bool `json:"ran"`
 }
 
-// refusalOf reads a refusal. begun says that frames had come already.
+// refusalOf returns the error for a refusal. begun reports that frames have
+// already been received.
 func (x *call) refusalOf(data []byte, req targetapi.RunRequest, where string, begun bool) error {
 	var body refusalBody
 	if err := json.Unmarshal(data, &body); err != nil || body.Code == "" {
-		return &stagecall.Failure{Class: stagecall.ClassFailed, Err: fmt.Errorf("%s without a refusal", where)}
+		return &stagecall.Failure{Class: stagecall.ClassFailed, Err: fmt.Errorf("%s without a valid refusal body", where)}
 	}
 	if isForeign(body.RequestID, req.RequestID) || isForeign(body.AttemptID, req.AttemptID) {
-		return x.foreign()
+		return x.foreignReply()
 	}
 	notRun := body.Ran != nil && !*body.Ran && !begun
 	return &stagecall.Failure{
@@ -146,14 +149,15 @@
 	}
 }
 
-// foreign counts a frame or reply of another attempt and keeps later calls off
-// the connection: what mixed up two answers once may do so again.
-func (x *call) foreign() error {
+// foreignReply counts a frame or reply of another attempt and retires the
+// connection, because what mixed up two answers once may do so again.
+func (x *call) foreignReply() error {
 	x.client.opts.Metrics.Counter(metricForeign).Add(1)
 	x.client.opts.Logger.Log(eventForeign, "target", x.target.ID)
 	return x.protocol("ids of another attempt")
 }
 
+// protocol returns a protocol error and retires the connection.
 func (x *call) protocol(format string, args ...any) error {
 	x.retire()
 	return &stagecall.Failure{Class: stagecall.ClassProtocol, Err: fmt.Errorf(format, args...)}
--- a/internal/target/silence.go
+++ b/internal/target/silence.go
@@ -11,96 +11,101 @@
 	"lynxhill.example/lynxhill/internal/wire/targetapi"
 )
 
-// A connection with calls that says nothing for a while is compared with a new
-// one: both are asked for the target's load report. If only the new one answers,
-// the connection has gone silent and its calls end at once. Without this each
-// of them waits for its own timeout or the connection's ping, up to two seconds,
-// although the first one's wait tells enough.
+// A connection with calls on which nothing is received for a while is compared
+// with a new one: the target's load report is requested on both. If only the new
+// connection answers, the old one has gone silent and its calls end at once.
+// Otherwise each of them would wait for its own timeout or for the connection's
+// ping, up to two seconds, although the first wait shows that the connection is
+// silent.
 
-// silenceBackoff lengthens the wait after a comparison that found nothing: a
-// target whose calls are long would be asked twice in each of them.
+// silenceBackoff is the factor by which the wait is lengthened after a comparison
+// that found no fault, so that a target is probed less often during long calls.
 const silenceBackoff = 4
 
 type dialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// hearing returns dial with its connections counting what they read, and closing
-// when they are lost.
-func (l *line) hearing(opts Options) dialFunc {
+// monitoredDial returns a dial function whose connections count the bytes that
+// they read, and close themselves when they are lost.
+func (t *transport) monitoredDial(opts Options) dialFunc {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		conn, err := opts.Dial(ctx, network, addr)
 		if err != nil {
 			return nil, err
 		}
-		c := &hearingConn{Conn: conn, line: l, every: (opts.PingInterval + opts.PingTimeout) / lostLooks}
-		c.lookLater(0, 0)
+		c := &monitoredConn{Conn: conn, transport: t, interval: (opts.PingInterval + opts.PingTimeout) / lostIntervals}
+		c.scheduleCheck(0, 0)
 		return c, nil
 	}
 }
 
-// watchSilence has the call's line looked at while the call lasts. It is for
-// calls that may be repeated: one that may not is left to the ping, which says
-// for sure that the connection is lost.
+// watchSilence schedules checks of the call's transport for silence while the call
+// runs. It is used only for calls that may be retried. A call that may not be
+// retried relies on the pings, which show reliably that the connection is lost.
 func (c *Client) watchSilence(x *call) {
 	c.pool.mu.Lock()
-	x.line.live[x] = struct{}{}
-	first := !x.line.watched
-	x.line.watched = true
+	x.transport.retryable[x] = struct{}{}
+	first := !x.transport.checkScheduled
+	x.transport.checkScheduled = true
 	c.pool.mu.Unlock()
 	if first {
-		c.lookLater(x.target, x.line, c.opts.SilenceWait)
+		c.scheduleSilenceCheck(x.target, x.transport, c.opts.SilenceWait)
 	}
 }
 
-func (c *Client) lookLater(target stagecall.Target, l *line, wait time.Duration) {
-	heard := l.heard.Load()
-	c.opts.Clock.AfterFunc(wait, func() { c.look(target, l, heard) })
+// scheduleSilenceCheck schedules a check for silence after the wait.
+func (c *Client) scheduleSilenceCheck(target stagecall.Target, t *transport, wait time.Duration) {
+	bytesRead := t.bytesRead.Load()
+	c.opts.Clock.AfterFunc(wait, func() { c.checkSilence(target, t, bytesRead) })
 }
 
-// look compares the line with a new connection if it has said nothing since.
-func (c *Client) look(target stagecall.Target, l *line, heard int64) {
+// checkSilence compares the transport with a new connection if its number of bytes
+// read is still bytesRead. It abandons a silent transport; otherwise it schedules
+// the next check while the transport has calls that may be retried.
+func (c *Client) checkSilence(target stagecall.Target, t *transport, bytesRead int64) {
 	c.pool.mu.Lock()
-	l.watched = len(l.live) > 0
-	over := !l.watched
+	t.checkScheduled = len(t.retryable) > 0
+	over := !t.checkScheduled
 	c.pool.mu.Unlock()
 	if over {
 		return
 	}
 	wait := c.opts.SilenceWait
-	if l.heard.Load() == heard {
-		if c.isSilent(target, l, heard) {
-			l.giveUp(errSilentConn)
+	if t.bytesRead.Load() == bytesRead {
+		if c.isSilent(target, t, bytesRead) {
+			t.abandon(errSilentConn)
 			c.opts.Metrics.Counter(metricSilent).Add(1)
 			return
 		}
 		wait *= silenceBackoff
 	}
-	c.lookLater(target, l, wait)
+	c.scheduleSilenceCheck(target, t, wait)
 }
 
-// isSilent reports whether a new connection answers and the line says nothing.
-func (c *Client) isSilent(target stagecall.Target, l *line, heard int64) bool {
+// isSilent reports whether a new connection answers while nothing is received on
+// the transport.
+func (c *Client) isSilent(target stagecall.Target, t *transport, bytesRead int64) bool {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	timer := c.opts.Clock.AfterFunc(c.opts.ProbeTimeout, cancel)
 	defer timer.Stop()
-	fresh := &line{pool: c.pool, address: target.Address}
-	fresh.transport = newTransport(c.opts, fresh)
-	defer fresh.transport.CloseIdleConnections()
+	fresh := &transport{pool: c.pool, address: target.Address}
+	fresh.http = newTransport(c.opts, fresh)
+	defer fresh.http.CloseIdleConnections()
 	answered := make(chan bool, 1)
 	go func() { answered <- probe(ctx, fresh, target) }()
-	if probe(ctx, l, target) {
+	if probe(ctx, t, target) {
 		return false
 	}
-	return <-answered && l.heard.Load() == heard
+	return <-answered && t.bytesRead.Load() == bytesRead
 }
 
-// probe asks for the load report and reports whether any answer came.
-func probe(ctx context.Context, l *line, target stagecall.Target) bool {
+// probe requests the load report and reports whether any response was received.
+func probe(ctx context.Context, t *transport, target stagecall.Target) bool {
 	req, err := newRequest(ctx, http.MethodGet, "http://"+target.Address+targetapi.PathLoad, nil)
 	if err != nil {
 		return false
 	}
-	resp, err := l.transport.RoundTrip(req)
+	resp, err := t.http.RoundTrip(req)
 	if err != nil {
 		return false
 	}
--- a/internal/target/silent_test.go
+++ b/internal/target/silent_test.go
@@ -13,8 +13,8 @@
 	"lynxhill.example/lynxhill/internal/wire/targetapi"
 )
 
-// muteConn loses everything in both directions once mute is closed, as when
-// something between the two ends has lost track of the connection.
+// muteConn drops all data in both directions once mute is closed, as happens when
+// an intermediary has lost the state of the connection.
 type muteConn struct {
 	net.Conn
 	mute   <-chan struct{}
@@ -47,9 +47,9 @@
 	return c.Conn.Close()
 }
 
-// Symptom: calls on a kept connection hang until their deadline although the
-// target is well. Events: the connection goes silent for good; new ones work.
-// Cause: nothing asks whether the other end still hears.
+// Guards against calls that hang until their deadline on a pooled connection that
+// has gone silent for good, although the target is healthy and new connections
+// work. The pings must detect it.
 func TestPingsFindSilentConnections(t *testing.T) {
 	mute := make(chan struct{})
 	dials := 0
@@ -76,30 +76,29 @@
 	}
 }
 
-// Symptom: a request that crashes targets is retried for ever, since the
-// platform restarts them at once. Cause: "it answers" taken for "it lived".
-func TestRestartCountsAsDeath(t *testing.T) {
+// Guards against unlimited retries of a request that crashes targets: the platform
+// restarts them at once, so a target that answers may have crashed nevertheless.
+func TestRestartCountsAsCrash(t *testing.T) {
 	s := newServer(t, func(http.ResponseWriter, targetapi.RunRequest) {})
 	c := newClient(t, Options{})
 	if !c.Alive(testContext(t), s.target) {
-		t.Error("a target that answers without a load report counts as dead")
+		t.Error("a target that answers without a load report counts as crashed")
 	}
-	c.noteLoad(s.target.Address, &targetapi.LoadReport{Seq: 100})
-	c.noteLoad(s.target.Address, &targetapi.LoadReport{Seq: 98}) // overtaken, not restarted
+	c.recordLoad(s.target.Address, &targetapi.LoadReport{Seq: 100})
+	c.recordLoad(s.target.Address, &targetapi.LoadReport{Seq: 98}) // reordered, not restarted
 	if !c.Alive(testContext(t), s.target) {
-		t.Error("a report that was overtaken counts as a restart")
+		t.Error("a reordered report counts as a restart")
 	}
-	c.noteLoad(s.target.Address, &targetapi.LoadReport{Seq: 1})
+	c.recordLoad(s.target.Address, &targetapi.LoadReport{Seq: 1})
 	if c.Alive(testContext(t), s.target) {
-		t.Error("a restart was not noticed")
+		t.Error("a restart was not detected")
 	}
 }
 
-// Symptom: all calls on a connection that went silent wait for their own
-// timeouts, or two seconds for the ping, one after the other noticing the same.
-// Events: two calls are under way; the connection goes silent; new ones work.
-// Cause: nothing compares the connection with a new one. A call that may not be
-// repeated is left to the ping.
+// Guards against calls on a silent connection that each wait for their own timeout,
+// or two seconds for the ping, although new connections work: the comparison with a
+// new connection must end them together. A call that may not be retried must not
+// end; it relies on the ping.
 func TestSilentConnectionEndsAllItsCalls(t *testing.T) {
 	mute := make(chan struct{})
 	var dials atomic.Int32
@@ -144,14 +143,15 @@
 	}
 	select {
 	case err := <-once:
-		t.Fatalf("the call that may not be repeated ended: %v", err)
+		t.Fatalf("the call that may not be retried ended: %v", err)
 	default:
 	}
 	cancel()
 	<-once
 }
 
-// A connection whose calls are only slow stays: the load report comes on it.
+// A connection whose calls are merely slow is kept, because the load report is
+// received on it.
 func TestSlowCallsKeepTheirConnection(t *testing.T) {
 	s := newServer(t, func(w http.ResponseWriter, req targetapi.RunRequest) {
 		time.Sleep(300 * time.Millisecond)
--- a/internal/target/sse.go
+++ b/internal/target/sse.go
@@ -10,7 +10,7 @@
 	"lynxhill.example/lynxhill/internal/wire/targetapi"
 )
 
-// errEventTooLong says that an event exceeds the limit of a reply.
+// errEventTooLong is returned for an event that exceeds the size limit.
 var errEventTooLong = errors.New("event exceeds the limit")
 
 const scanBufferBytes = 4 << 10
@@ -21,8 +21,8 @@
 	data []byte // valid until the next call of next
 }
 
-// eventReader reads server-sent events: the fields event and data, comments,
-// and the blank line that ends an event. Other fields are skipped.
+// eventReader parses server-sent events: the fields event and data, and the blank
+// line that ends an event. Comments and other fields are skipped.
 type eventReader struct {
 	scanner *bufio.Scanner
 	limit   int
@@ -35,9 +35,9 @@
 	return &eventReader{scanner: scanner, limit: int(limit)}
 }
 
-// next returns the next event. io.EOF says that the stream ended between
-// events, io.ErrUnexpectedEOF that it ended within one: an event without its
-// blank line may be cut and is not delivered.
+// next returns the next event. It returns io.EOF if the stream ended between
+// events, and io.ErrUnexpectedEOF if it ended within one: an event without its
+// blank line may be truncated and is not delivered.
 func (e *eventReader) next() (serverEvent, error) {
 	var name string
 	e.data = e.data[:0]
@@ -96,7 +96,8 @@
 	return field, bytes.TrimPrefix(value, []byte(" "))
 }
 
-// eventName returns the names in use without an allocation for each event.
+// eventName converts an event's name to a string without an allocation for the
+// usual names.
 func eventName(value []byte) string {
 	switch string(value) {
 	case targetapi.EventFrame:
--- a/internal/target/stream.go
+++ b/internal/target/stream.go
@@ -15,12 +15,12 @@
 	req     targetapi.RunRequest
 	opts    stagecall.Options
 	onFrame func(targetapi.Frame) error
-	offset  int // where the next frame must begin
-	begun   bool
+	offset  int  // expected offset of the next frame
+	begun   bool // at least one frame was received
 }
 
-// read delivers frames until the end mark. A stream that ends without one is
-// broken, however whole its text may look.
+// read delivers frames until the end mark. A stream that ends without an end mark
+// is broken, even if its text looks complete.
 func (s *stream) read(body io.Reader) (stagecall.Result, error) {
 	events := newEventReader(body, s.call.client.opts.MaxReplyBytes)
 	for {
@@ -55,14 +55,14 @@
 		return s.call.protocol("malformed frame: %v", err)
 	}
 	if frame.RequestID != s.req.RequestID || frame.AttemptID != s.req.AttemptID {
-		return s.call.foreign()
+		return s.call.foreignReply()
 	}
 	if frame.Offset != s.offset {
-		return s.call.protocol("frame at offset %d, expected %d", frame.Offset, s.offset)
+		return s.call.protocol("received a frame at offset %d, expected %d", frame.Offset, s.offset)
 	}
 	s.offset += len(frame.Text)
 	s.begun = true
-	// The receiver's own slowness is not the target's silence.
+	// The time that the receiver takes must not count as silence of the target.
 	s.call.watch.stop()
 	err := s.onFrame(frame)
 	s.call.watch.arm(s.opts.Progress, errSilentProgress)
@@ -75,10 +75,10 @@
 		return stagecall.Result{}, s.call.protocol("malformed end mark: %v", err)
 	}
 	if end.RequestID != s.req.RequestID || end.AttemptID != s.req.AttemptID {
-		return stagecall.Result{}, s.call.foreign()
+		return stagecall.Result{}, s.call.foreignReply()
 	}
 	if end.Length != s.offset {
-		return stagecall.Result{}, s.call.protocol("end mark says %d bytes, %d came", end.Length, s.offset)
+		return stagecall.Result{}, s.call.protocol("end mark reports %d bytes, received %d", end.Length, s.offset)
 	}
 	return stagecall.Result{
 		Length:  end.Length,
--- a/internal/target/target.go
+++ b/internal/target/target.go
@@ -1,6 +1,5 @@
 // Package target calls model engines, pools and plain services over HTTP/2. It
-// never repeats a call by itself, so that the pipeline alone decides what may
-// run again.
+// never retries a call, so that the pipeline alone decides what may run again.
 package target
 
 import (
@@ -30,24 +29,25 @@
 	DefaultMaxReplyBytes = 8 << 20
 	dialTimeout          = 2 * time.Second
 	cancelTimeout        = 2 * time.Second
-	// maxCancels bounds the background calls that tell targets to stop. A call
-	// over the bound is left out: the reset of the stream tells the target too.
+	// maxCancels is the maximum number of concurrent background calls that cancel
+	// attempts. Calls beyond it are dropped: the reset of the stream also informs
+	// the target.
 	maxCancels = 64
-	// restartMemory is for how long a restart that was noticed counts against
-	// "is the same process still alive".
-	restartMemory = 5 * time.Second
+	// restartWindow is the time after a detected restart during which Alive
+	// reports false.
+	restartWindow = 5 * time.Second
 )
 
-// Options of a Client.
+// Options holds the settings of a Client.
 type Options struct {
 	// Dial opens connections; nil dials TCP.
 	Dial          func(ctx context.Context, network, addr string) (net.Conn, error)
 	Clock         clock.Clock
-	PingInterval  time.Duration // silence after which a connection is pinged
-	PingTimeout   time.Duration // wait for the ping's answer before the connection is closed
+	PingInterval  time.Duration // time without data received after which a connection is pinged
+	PingTimeout   time.Duration // wait for the response to a ping before the connection is closed
 	SilenceWait   time.Duration // silence of a connection with calls after which it is compared with a new one
-	ProbeTimeout  time.Duration // wait for the answers of that comparison
-	MaxReplyBytes int64         // longest reply, and longest event of a stream
+	ProbeTimeout  time.Duration // time limit of the probes of that comparison
+	MaxReplyBytes int64         // maximum size of a reply and of an event of a stream
 	Logger        *event.Logger
 	Metrics       *metrics.Registry
 }
@@ -72,16 +72,16 @@
 type Client struct {
 	opts    Options
 	pool    *pool
-	cancels chan struct{} // a place for each background cancel
+	cancels chan struct{} // semaphore of the background cancel calls
 
-	mu   sync.Mutex // guards seen
-	seen map[string]lifeSign
+	mu        sync.Mutex // guards processes
+	processes map[string]processState
 }
 
-// lifeSign is what replies have told of a target's process.
-type lifeSign struct {
-	seq       uint64 // sequence number of its latest load report
-	restarted time.Time
+// processState is what load reports have shown about a target's process.
+type processState struct {
+	seq       uint64    // sequence number of its latest load report
+	restarted time.Time // when its latest restart was detected; zero if never
 }
 
 var _ stagecall.Caller = (*Client)(nil)
@@ -90,41 +90,43 @@
 func New(opts Options) *Client {
 	opts = opts.withDefaults()
 	return &Client{
-		opts:    opts,
-		pool:    newPool(opts),
-		cancels: make(chan struct{}, maxCancels),
-		seen:    make(map[string]lifeSign),
+		opts:      opts,
+		pool:      newPool(opts),
+		cancels:   make(chan struct{}, maxCancels),
+		processes: make(map[string]processState),
 	}
 }
 
-// Close closes the connections that carry no call.
+// Close closes the connections that carry no call. The others are closed at the
+// end of their last call.
 func (c *Client) Close() { c.pool.close() }
 
-// Alive reports whether the process behind target is the one that was there
-// before. It is not if the machine refuses a new connection, or if the load
-// reports have begun to count anew within the last seconds. A connection that
-// broke is no death, nor is a machine that cannot be reached: a request does
-// not cut cables.
+// Alive reports whether the target's process is still the same one. It returns
+// false if the target's host refuses a new connection, or if the sequence numbers
+// of the load reports have restarted within restartWindow. A broken connection or
+// an unreachable host does not count as a crash, because a request cannot cause
+// either.
 func (c *Client) Alive(ctx context.Context, target stagecall.Target) bool {
 	if c.refusesConnections(ctx, target) {
 		return false
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	restarted := c.seen[target.Address].restarted
-	return restarted.IsZero() || c.opts.Clock.Since(restarted) > restartMemory
+	restarted := c.processes[target.Address].restarted
+	return restarted.IsZero() || c.opts.Clock.Since(restarted) > restartWindow
 }
 
-// lifeQuestions bounds how often a target is asked whether it is there. A kept
-// connection may be the next that the crash breaks: that error tells of the
-// crash's beginning, not of what the machine does now. Without the second
-// question such a crash counts as no death, and the request that caused it is
-// sent to more targets than its limit.
-const lifeQuestions = 2
+// maxAliveProbes is the maximum number of probes of a target's process. The first
+// probe may use a pooled connection that the crash is just breaking; that error
+// does not show whether the host accepts connections now. Without a second probe
+// such a crash would not be detected, and the request that caused it would be sent
+// to more targets than its limit.
+const maxAliveProbes = 2
 
-// refusesConnections asks for the load and reports whether nobody listens.
+// refusesConnections requests the load report and reports whether the connection
+// is refused because no process listens.
 func (c *Client) refusesConnections(ctx context.Context, target stagecall.Target) bool {
-	for range lifeQuestions {
+	for range maxAliveProbes {
 		_, err := c.Load(ctx, target)
 		if errors.Is(err, syscall.ECONNREFUSED) {
 			return true
@@ -136,20 +138,21 @@
 	return false
 }
 
-// noteLoad notes a restart: a sequence number that fell back by more than
-// reports that overtook one another can explain.
-func (c *Client) noteLoad(address string, report *targetapi.LoadReport) {
+// recordLoad records the sequence number of a load report. A number that is lower
+// than the last one by more than the reordering of reports can explain counts as a
+// restart of the target.
+func (c *Client) recordLoad(address string, report *targetapi.LoadReport) {
 	if report == nil {
 		return
 	}
 	const reordering = 16
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	sign := c.seen[address]
-	if report.Seq+reordering < sign.seq || (report.Seq < sign.seq && report.Seq <= 1) {
-		sign.restarted = c.opts.Clock.Now()
-		sign.seq = report.Seq
+	state := c.processes[address]
+	if report.Seq+reordering < state.seq || (report.Seq < state.seq && report.Seq <= 1) {
+		state.restarted = c.opts.Clock.Now()
+		state.seq = report.Seq
 	}
-	sign.seq = max(sign.seq, report.Seq)
-	c.seen[address] = sign
+	state.seq = max(state.seq, report.Seq)
+	c.processes[address] = state
 }
--- a/internal/target/target_test.go
+++ b/internal/target/target_test.go
@@ -14,7 +14,7 @@
 	"lynxhill.example/lynxhill/internal/wire/targetapi"
 )
 
-// server is a target on loopback whose handler a test gives.
+// server is a target on the loopback interface with a handler given by the test.
 type server struct {
 	target stagecall.Target
 	http   *http.Server
@@ -22,7 +22,7 @@
 	mu      sync.Mutex // guards the fields below
 	runs    []targetapi.RunRequest
 	cancels []string
-	from    []string // address of the client's end, by run
+	from    []string // client address of each run
 }
 
 func newServer(t *testing.T, handle func(w http.ResponseWriter, req targetapi.RunRequest)) *server {
