--- a/internal/control/steering/choose.go
+++ b/internal/control/steering/choose.go
@@ -10,23 +10,27 @@
 )
 
 const (
-	// minWeight keeps a full instance in the answers with a small share: its
-	// room is known late, and with no weight it would never be tried.
+	// minWeight is the lowest weight of an instance. It keeps a full instance in
+	// the answers: its free capacity is reported with a delay, and with weight 0
+	// it would receive no callers after capacity became free again.
 	minWeight = 0.02
-	// rampStart is the share of its weight that a new instance starts with.
+	// rampStart is the fraction of its weight that a new instance starts with.
 	rampStart = 0.1
-	// enoughRoom is the mean room of a place above which it keeps all its
-	// callers; below it a growing share goes to the rest of the region.
-	enoughRoom = 0.2
-	// sparePart: one in so many addresses of an answer is a spare.
-	sparePart = 3
-	// thresholdSteps of halving find the threshold to nine digits.
-	thresholdSteps = 30
+	// spillThreshold is the mean free capacity of a zone above which the zone
+	// keeps all its callers. Below it, a growing share of them is sent to the rest
+	// of the region.
+	spillThreshold = 0.2
+	// spareDivisor is the number of addresses in an answer per spare address.
+	spareDivisor = 3
+	// bisectionSteps is the number of bisection steps of inclusionThreshold; 30
+	// of them find the threshold to nine digits.
+	bisectionSteps = 30
 )
 
-// weight is an instance's share of callers: its free room, less while it is
-// new. Without the ramp a new instance, empty and so the one with the most
-// room, would get most callers within one keep time, before its room shows it.
+// weight returns an instance's relative share of callers: its free capacity,
+// reduced while the instance is new. Without this ramp, a new instance, which is
+// empty and so has the most free capacity, would receive most callers within one
+// TTL, before its reported capacity reflects them.
 func weight(room float64, age, ramp time.Duration) float64 {
 	w := max(minWeight, min(room, 1))
 	if age >= ramp {
@@ -36,28 +40,30 @@
 	return w * part
 }
 
-// distribution is what callers of one place are answered from. It is made once for
-// all callers of a place, since an answer takes only the drawing.
+// distribution is the weighted set of addresses from which callers of one
+// availability zone are answered. It is computed once for all callers of a zone;
+// each answer is only a random sample of it.
 type distribution struct {
-	place, region string
-	shares        []board.SteeringAddress // with their weights in an answer
-	rates         []float64               // of the draw, by index of shares
-	spares        []board.SteeringAddress
-	spareRates    []float64
-	spare         int // spares in an answer
-}
-
-// newDistribution prepares answers of n addresses: most of them by their share for
-// the place, and some spare ones with weight 0, to be used only when the others
-// fail. The spare ones lie further away, so that a caller whose whole place is
-// lost still knows somebody, and are drawn at random, so that callers of a lost
-// place spread over the rest.
-func newDistribution(all []board.SteeringAddress, place, region string, n int) *distribution {
-	d := &distribution{place: place, region: region}
-	d.shares, d.spares = split(scaleByNearness(all, place, region), all)
-	d.spare = min(n/sparePart, len(d.spares))
-	d.rates, d.spareRates = weights(d.shares), weights(d.spares)
-	correct(d.shares, n-d.spare)
+	zone, region string
+	primaries    []board.SteeringAddress // with their weights in an answer
+	primaryRates []float64               // sampling rates, by index of primaries
+	spares       []board.SteeringAddress
+	spareRates   []float64
+	spareCount   int // number of spares in an answer
+}
+
+// newDistribution prepares answers of n addresses. Most of them are primaries,
+// sampled by their share of the zone's callers; the rest are spares with weight
+// 0, to be used only when the primaries fail. Spares are farther away, so that a
+// caller still has an address to use when its whole zone is lost. They are
+// sampled at random, so that the callers of a lost zone spread over the remaining
+// instances.
+func newDistribution(all []board.SteeringAddress, zone, region string, n int) *distribution {
+	d := &distribution{zone: zone, region: region}
+	d.primaries, d.spares = split(scaleByNearness(all, zone, region), all)
+	d.spareCount = min(n/spareDivisor, len(d.spares))
+	d.primaryRates, d.spareRates = weights(d.primaries), weights(d.spares)
+	correctForInclusion(d.primaries, n-d.spareCount)
 	for i := range d.spares {
 		d.spares[i].Weight = 0
 	}
@@ -72,16 +78,16 @@
 	return rates
 }
 
-// answer draws n addresses, nearest first.
+// answer samples n addresses and returns them nearest first.
 func (d *distribution) answer(n int, random func() float64) []lynxapi.Address {
-	first := draw(d.shares, d.rates, n-d.spare, random)
-	second := draw(d.spares, d.spareRates, n-len(first), random)
+	first := sample(d.primaries, d.primaryRates, n-d.spareCount, random)
+	second := sample(d.spares, d.spareRates, n-len(first), random)
 	answer := make([]lynxapi.Address, 0, len(first)+len(second))
 	for _, a := range append(first, second...) {
 		answer = append(answer, addressOf(a))
 	}
 	sort.SliceStable(answer, func(i, j int) bool {
-		return tierOf(answer[i].Place, answer[i].Region, d.place, d.region) < tierOf(answer[j].Place, answer[j].Region, d.place, d.region)
+		return tierOf(answer[i].Place, answer[i].Region, d.zone, d.region) < tierOf(answer[j].Place, answer[j].Region, d.zone, d.region)
 	})
 	return answer
 }
@@ -90,32 +96,33 @@
 	return lynxapi.Address{ID: a.ID, Address: a.Address, Place: a.Place, Region: a.Region, Weight: a.Weight}
 }
 
-// split separates the addresses with a share from those without; the latter
-// keep their weights of before.
-func split(scaled, all []board.SteeringAddress) (shares, spares []board.SteeringAddress) {
+// split separates the addresses with a share of the callers (primaries) from
+// those without (spares). Spares keep their unscaled weights.
+func split(scaled, all []board.SteeringAddress) (primaries, spares []board.SteeringAddress) {
 	for i, a := range scaled {
 		if a.Weight > 0 {
-			shares = append(shares, a)
+			primaries = append(primaries, a)
 		} else {
 			spares = append(spares, all[i])
 		}
 	}
-	return shares, spares
+	return primaries, spares
 }
 
-// scaleByNearness scales the weights by nearness: a place with room keeps its callers,
-// one without sends a share to the region, a region without to the others.
-func scaleByNearness(all []board.SteeringAddress, place, region string) []board.SteeringAddress {
+// scaleByNearness scales the weights by nearness. A zone with enough free
+// capacity keeps all its callers; one without sends a share of them to the rest
+// of its region, and a region without sends a share to the other regions.
+func scaleByNearness(all []board.SteeringAddress, zone, region string) []board.SteeringAddress {
 	scaled := append([]board.SteeringAddress(nil), all...)
 	left := 1.0
 	for tier := range tiers {
-		members := inTier(scaled, place, region, tier)
+		members := inTier(scaled, zone, region, tier)
 		if len(members) == 0 {
 			continue
 		}
 		share := left
-		if tier < tiers-1 && further(scaled, place, region, tier) {
-			share = left * keepShare(scaled, members)
+		if tier < tiers-1 && hasFartherTier(scaled, zone, region, tier) {
+			share = left * localShare(scaled, members)
 		}
 		setShare(scaled, members, share)
 		left -= share
@@ -125,16 +132,16 @@
 
 // Tiers of nearness.
 const (
-	tierPlace = iota
+	tierZone = iota
 	tierRegion
 	tierElsewhere
 	tiers
 )
 
-func tierOf(itsPlace, itsRegion, place, region string) int {
+func tierOf(itsZone, itsRegion, zone, region string) int {
 	switch {
-	case itsPlace == place:
-		return tierPlace
+	case itsZone == zone:
+		return tierZone
 	case itsRegion == region:
 		return tierRegion
 	default:
@@ -142,36 +149,37 @@
 	}
 }
 
-func inTier(all []board.SteeringAddress, place, region string, tier int) []int {
+func inTier(all []board.SteeringAddress, zone, region string, tier int) []int {
 	var members []int
 	for i, a := range all {
-		if tierOf(a.Place, a.Region, place, region) == tier {
+		if tierOf(a.Place, a.Region, zone, region) == tier {
 			members = append(members, i)
 		}
 	}
 	return members
 }
 
-func further(all []board.SteeringAddress, place, region string, tier int) bool {
+func hasFartherTier(all []board.SteeringAddress, zone, region string, tier int) bool {
 	for _, a := range all {
-		if tierOf(a.Place, a.Region, place, region) > tier {
+		if tierOf(a.Place, a.Region, zone, region) > tier {
 			return true
 		}
 	}
 	return false
 }
 
-// keepShare is the share of its callers that a tier keeps. It goes by room
-// alone: when all instances of a place are new, their callers stay there.
-func keepShare(all []board.SteeringAddress, members []int) float64 {
+// localShare returns the share of its callers that a tier keeps. It depends on
+// free capacity only, not on weights: when all instances of a zone are new, their
+// callers stay in the zone.
+func localShare(all []board.SteeringAddress, members []int) float64 {
 	sum := 0.0
 	for _, i := range members {
 		sum += all[i].Room
 	}
-	return min(1, sum/float64(len(members))/enoughRoom)
+	return min(1, sum/float64(len(members))/spillThreshold)
 }
 
-// setShare scales the weights of the members to add up to share.
+// setShare scales the weights of the members so that they add up to share.
 func setShare(all []board.SteeringAddress, members []int, share float64) {
 	sum := 0.0
 	for _, i := range members {
@@ -182,9 +190,9 @@
 	}
 }
 
-// draw picks n of the addresses without replacement, by the rates: the n lowest
-// of exponential draws.
-func draw(all []board.SteeringAddress, rates []float64, n int, random func() float64) []board.SteeringAddress {
+// sample picks n of the addresses at random without replacement, in proportion
+// to rates. It draws an exponential variate per address and takes the n lowest.
+func sample(all []board.SteeringAddress, rates []float64, n int, random func() float64) []board.SteeringAddress {
 	type keyed struct {
 		key   float64
 		index int
@@ -201,29 +209,30 @@
 	return drawn
 }
 
-// correct divides the weights by the chance of being drawn into an answer with
-// n of the addresses. Heavy addresses are drawn more often, and a caller then
-// picks among those drawn by weight once more; without the correction the weight
-// would count twice.
-func correct(all []board.SteeringAddress, n int) {
-	threshold := drawThreshold(all, n)
+// correctForInclusion divides each weight by the probability that the address is
+// included in an answer of n addresses. Heavy addresses are sampled more often,
+// and a caller then chooses by weight among the addresses it received; without
+// the correction the weight would count twice.
+func correctForInclusion(all []board.SteeringAddress, n int) {
+	threshold := inclusionThreshold(all, n)
 	for i, a := range all {
 		all[i].Weight = a.Weight / (1 - math.Exp(-threshold*a.Weight))
 	}
 }
 
-// drawThreshold is the draw below which n of the addresses lie on average.
-func drawThreshold(all []board.SteeringAddress, n int) float64 {
+// inclusionThreshold returns the value below which the exponential variates of n
+// of the addresses lie on average.
+func inclusionThreshold(all []board.SteeringAddress, n int) float64 {
 	if n >= len(all) {
 		return math.Inf(1)
 	}
 	low, high := 0.0, 1.0
-	for expected(all, high) < float64(n) {
+	for expectedInclusions(all, high) < float64(n) {
 		high *= 2
 	}
-	for range thresholdSteps {
+	for range bisectionSteps {
 		middle := (low + high) / 2
-		if expected(all, middle) < float64(n) {
+		if expectedInclusions(all, middle) < float64(n) {
 			low = middle
 		} else {
 			high = middle
@@ -232,7 +241,9 @@
 	return high
 }
 
-func expected(all []board.SteeringAddress, threshold float64) float64 {
+// expectedInclusions returns the expected number of addresses whose exponential
+// variate lies below threshold.
+func expectedInclusions(all []board.SteeringAddress, threshold float64) float64 {
 	sum := 0.0
 	for _, a := range all {
 		sum += 1 - math.Exp(-threshold*a.Weight)
--- a/internal/control/steering/options.go
+++ b/internal/control/steering/options.go
@@ -1,6 +1,6 @@
-// Package steering answers the callers' question which instances to use. No
-// balancer stands before the instances: the answer, which callers keep for a
-// while, is all that spreads them.
+// Package steering tells callers which instances to use. There is no load
+// balancer in front of the instances: callers are spread only by these answers,
+// which they cache for a limited time (TTL).
 package steering
 
 import (
@@ -16,7 +16,7 @@
 
 // Defaults of Options.
 const (
-	DefaultKeep      = 30 * time.Second
+	DefaultTTL       = 30 * time.Second
 	DefaultJitter    = 0.3
 	DefaultRamp      = 60 * time.Second
 	DefaultAddresses = 6
@@ -30,23 +30,23 @@
 	Rand    *rand.Rand
 	Logger  *event.Logger
 	Metrics *metrics.Registry
-	// Self is the id of this instance.
+	// Self is the ID of this instance.
 	Self string
-	// Keep is how long callers may keep an answer, before jitter.
+	// Keep is the TTL of an answer, before jitter.
 	Keep time.Duration
-	// Jitter is the share by which the keep time varies from answer to
-	// answer, so that callers that asked together do not ask again together.
+	// Jitter is the fraction by which the TTL varies from answer to answer, so
+	// that callers that asked at the same time do not refresh at the same time.
 	Jitter float64
-	// Ramp is the time in which a new instance reaches its full weight.
+	// Ramp is the time after which a new instance has its full weight.
 	Ramp time.Duration
 	// Addresses is the number of addresses in an answer.
 	Addresses int
-	// Period is how often the weights are computed without a change.
+	// Period is the interval at which the weights are recomputed.
 	Period time.Duration
 }
 
 func (o Options) withDefaults() Options {
-	defaults.Positive(&o.Keep, DefaultKeep)
+	defaults.Positive(&o.Keep, DefaultTTL)
 	defaults.Positive(&o.Jitter, DefaultJitter)
 	defaults.Positive(&o.Ramp, DefaultRamp)
 	defaults.Positive(&o.Addresses, DefaultAddresses)
--- a/internal/control/steering/steering.go
+++ b/internal/control/steering/steering.go
@@ -21,8 +21,8 @@
 	rand *loop.Rand
 
 	mu            sync.Mutex           // guards all below
-	joined        map[string]time.Time // since when each instance has been up without a break
-	computed      time.Time            // when the weights of distributions were computed
+	joined        map[string]time.Time // start of each instance's current uninterrupted membership
+	computed      time.Time            // Steering.Computed of the weights that distributions are made from
 	distributions map[distributionKey]*distribution
 }
 
@@ -31,7 +31,7 @@
 	return &Controller{opts: opts.withDefaults(), rand: loop.NewRand(opts.Rand), joined: make(map[string]time.Time), distributions: make(map[distributionKey]*distribution)}
 }
 
-// Run keeps board.Steering until ctx ends.
+// Run keeps board.Steering up to date until ctx ends.
 func (c *Controller) Run(ctx context.Context) {
 	loop.Run(ctx, loop.Options{
 		Clock: c.opts.Clock, Rand: c.rand, Period: c.opts.Period, Settle: c.opts.Period / 2,
@@ -45,7 +45,7 @@
 	members := b.Members.Snapshot()
 	var addresses []board.SteeringAddress
 	for id, m := range members {
-		if m.CallerAddr == "" || !c.takesCallers(m) {
+		if m.CallerAddr == "" || !c.acceptsCallers(m) {
 			continue
 		}
 		addresses = append(addresses, board.SteeringAddress{
@@ -53,16 +53,16 @@
 			Weight: weight(m.Room, c.age(m, now), c.opts.Ramp),
 		})
 	}
-	c.forget(members)
+	c.pruneJoined(members)
 	if len(addresses) == 0 {
-		addresses = c.lastResort(members)
+		addresses = c.fallbackAddresses(members)
 	}
 	sort.Slice(addresses, func(i, j int) bool { return addresses[i].ID < addresses[j].ID })
 	b.Steering.Put(board.SteeringRow, board.Steering{Addresses: addresses, Keep: c.opts.Keep, Computed: now})
 }
 
-// takesCallers reports whether new callers are sent to the member.
-func (c *Controller) takesCallers(m board.Member) bool {
+// acceptsCallers reports whether new callers may be sent to the member.
+func (c *Controller) acceptsCallers(m board.Member) bool {
 	if m.State != board.MemberAlive {
 		return false
 	}
@@ -77,10 +77,10 @@
 	return !self.Stopping && !self.Draining && self.MayAdmit()
 }
 
-// lastResort is the answer when nobody takes callers: everybody that may
-// still answer, with equal weights. A refused request is told apart from a
-// lost one; no address at all helps nobody.
-func (c *Controller) lastResort(members map[string]board.Member) []board.SteeringAddress {
+// fallbackAddresses returns the addresses to answer with when no instance accepts
+// callers: all instances that may still respond, with equal weights. A caller can
+// tell a refused request from a lost one, which is better than no address at all.
+func (c *Controller) fallbackAddresses(members map[string]board.Member) []board.SteeringAddress {
 	var addresses []board.SteeringAddress
 	for id, m := range members {
 		if m.CallerAddr != "" && m.State != board.MemberDead {
@@ -93,8 +93,8 @@
 	return addresses
 }
 
-// age is how long the member has been up without a break. A member that
-// membership dates from no moment counts as old.
+// age returns how long the member has been up without interruption. A member
+// whose Changed time is zero counts as old.
 func (c *Controller) age(m board.Member, now time.Time) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -109,9 +109,10 @@
 	return now.Sub(since)
 }
 
-// forget drops instances that went, so that one that comes back is new again
-// and memory stays bounded. A suspicion alone does not make an instance new.
-func (c *Controller) forget(members map[string]board.Member) {
+// pruneJoined removes instances that are neither alive nor suspected, so that an
+// instance that returns counts as new and memory stays bounded. A suspicion alone
+// does not make an instance new.
+func (c *Controller) pruneJoined(members map[string]board.Member) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for id := range c.joined {
@@ -122,9 +123,9 @@
 	}
 }
 
-// Answer returns the instances that a caller in the place should use, nearest
-// place first. Empty place and region are allowed.
-func (c *Controller) Answer(place, region string) lynxapi.AddressAnswer {
+// Answer returns the instances that a caller in the zone should use, nearest
+// first. Empty zone and region are allowed.
+func (c *Controller) Answer(zone, region string) lynxapi.AddressAnswer {
 	c.opts.Metrics.Counter(metricAnswers).Add(1)
 	s, found := c.opts.Board.Steering.Get(board.SteeringRow)
 	if !found {
@@ -132,49 +133,51 @@
 		s, _ = c.opts.Board.Steering.Get(board.SteeringRow)
 	}
 	return lynxapi.AddressAnswer{
-		Addresses: c.distribution(s, place, region).answer(c.opts.Addresses, c.rand.Float64),
+		Addresses: c.distribution(s, zone, region).answer(c.opts.Addresses, c.rand.Float64),
 		KeepMS:    c.rand.Spread(s.Keep, c.opts.Jitter).Milliseconds(),
 	}
 }
 
-// distribution returns the distribution of the callers in a place, made at most once for
-// each computation of the weights. Places that no instance is in share one, so
-// that callers cannot fill the memory with names.
-func (c *Controller) distribution(s board.Steering, place, region string) *distribution {
-	place, region = known(s.Addresses, place, region)
-	key := distributionKey{place, region}
+// distribution returns the distribution for callers in a zone, computed at most
+// once for each computation of the weights. Zones without any instance share one
+// distribution, so that callers cannot exhaust memory with made-up names.
+func (c *Controller) distribution(s board.Steering, zone, region string) *distribution {
+	zone, region = knownLocality(s.Addresses, zone, region)
+	key := distributionKey{zone, region}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.computed.Equal(s.Computed) {
 		c.computed = s.Computed
 		clear(c.distributions)
 	}
-	o := c.distributions[key]
-	if o == nil {
-		o = newDistribution(s.Addresses, place, region, c.opts.Addresses)
-		c.distributions[key] = o
+	d := c.distributions[key]
+	if d == nil {
+		d = newDistribution(s.Addresses, zone, region, c.opts.Addresses)
+		c.distributions[key] = d
 	}
-	return o
+	return d
 }
 
-type distributionKey struct{ place, region string }
+type distributionKey struct{ zone, region string }
 
-// known returns the place and region, "" for one that no instance is in.
-func known(all []board.SteeringAddress, place, region string) (string, string) {
-	inPlace, inRegion := "", ""
+// knownLocality returns the zone and region, each replaced by "" if no instance
+// is in it.
+func knownLocality(all []board.SteeringAddress, zone, region string) (string, string) {
+	inZone, inRegion := "", ""
 	for _, a := range all {
-		if a.Place == place {
-			inPlace = place
+		if a.Place == zone {
+			inZone = zone
 		}
 		if a.Region == region {
 			inRegion = region
 		}
 	}
-	return inPlace, inRegion
+	return inZone, inRegion
 }
 
-// LongestKeep is the longest time for which a caller may keep an answer: an
-// instance that is leaving serves at least this long after it was last given.
+// LongestKeep returns the longest TTL of an answer. An instance that is leaving
+// must keep serving at least this long after its address was last included in an
+// answer.
 func (c *Controller) LongestKeep() time.Duration {
 	return time.Duration(float64(c.opts.Keep) * (1 + c.opts.Jitter))
 }
--- a/internal/control/steering/steering_test.go
+++ b/internal/control/steering/steering_test.go
@@ -16,11 +16,11 @@
 	return New(Options{Board: b, Clock: quartz.NewReal(), Rand: rand.New(rand.NewPCG(1, 2)), Self: "i-0"})
 }
 
-func put(b *board.Board, id, place string, room float64) {
-	b.Members.Put(id, board.Member{ID: id, State: board.MemberAlive, CallerAddr: id + ":1", Place: place, Region: "tunis", Room: room})
+func put(b *board.Board, id, zone string, room float64) {
+	b.Members.Put(id, board.Member{ID: id, State: board.MemberAlive, CallerAddr: id + ":1", Place: zone, Region: "tunis", Room: room})
 }
 
-func TestLeavingDrainedAndStoppingAreNotGiven(t *testing.T) {
+func TestAnswerExcludesLeavingDrainedAndStopping(t *testing.T) {
 	b := board.New()
 	put(b, "i-0", "lac-a", 1)
 	put(b, "i-1", "lac-a", 1)
@@ -62,11 +62,12 @@
 		}
 	}
 	if shares["far"] != 0 {
-		t.Errorf("a place with room sent %.3f of its callers away", shares["far"])
+		t.Errorf("a zone with free capacity sent %.3f of its callers to other zones", shares["far"])
 	}
 }
 
-// pickShares is what a caller that picks by weight sends to each address.
+// pickShares returns the share of its requests that a caller choosing by weight
+// sends to each address.
 func pickShares(a lynxapi.AddressAnswer) map[string]float64 {
 	sum := 0.0
 	for _, address := range a.Addresses {
@@ -79,10 +80,10 @@
 	return shares
 }
 
-// Symptom: callers of a lost place cannot reach anybody until they are set up
-// anew. Events: a whole place is lost while its callers keep their answers.
-// Cause: the answers named only instances of that place.
-func TestAnswerNamesSparesElsewhere(t *testing.T) {
+// Guards against callers of a lost zone reaching no instance until they are
+// reconfigured: a whole zone is lost while its callers hold cached answers, and
+// the answers contain only instances of that zone.
+func TestAnswerIncludesSparesInOtherZones(t *testing.T) {
 	b := board.New()
 	for _, id := range []string{"a", "b", "c", "d", "e", "f", "g"} {
 		put(b, id, "lac-a", 1)
@@ -94,12 +95,12 @@
 		answer := c.Answer("lac-a", "tunis")
 		last := answer.Addresses[len(answer.Addresses)-1]
 		if last.Place == "lac-a" || last.Weight != 0 {
-			t.Fatalf("no spare outside the place: %+v", answer.Addresses)
+			t.Fatalf("no spare outside the zone: %+v", answer.Addresses)
 		}
 	}
 }
 
-func TestFullPlaceSendsAShareAway(t *testing.T) {
+func TestFullZoneSpillsCallersToOtherZones(t *testing.T) {
 	b := board.New()
 	for _, id := range []string{"a", "b", "c"} {
 		put(b, id, "lac-a", 0.05)
@@ -114,13 +115,13 @@
 			shares[id[len(id)-1:]] += share / answers
 		}
 	}
-	away := shares["r"] // the names of the others end in "near" and "far"
-	if want := 1 - 0.05/enoughRoom; math.Abs(away-want) > 0.1 {
-		t.Errorf("%.2f of the callers of a place with 5%% room are sent away, want %.2f", away, want)
+	away := shares["r"] // the IDs of instances in other zones end in "near" and "far"
+	if want := 1 - 0.05/spillThreshold; math.Abs(away-want) > 0.1 {
+		t.Errorf("%.2f of the callers of a zone with 5%% room are sent to other zones, want %.2f", away, want)
 	}
 }
 
-func TestNobodyLeftGivesThoseThatAreUp(t *testing.T) {
+func TestFallbackWhenNoInstanceAcceptsCallers(t *testing.T) {
 	b := board.New()
 	put(b, "i-1", "lac-a", 1)
 	put(b, "i-2", "lac-b", 1)
@@ -136,7 +137,7 @@
 	}
 }
 
-func TestKeepTimesVary(t *testing.T) {
+func TestTTLsAreJittered(t *testing.T) {
 	b := board.New()
 	put(b, "i-1", "lac-a", 1)
 	c := controller(b)
@@ -146,10 +147,10 @@
 		shortest, longest = min(shortest, keep), max(longest, keep)
 	}
 	if longest > c.LongestKeep().Milliseconds() {
-		t.Errorf("an answer is kept %d ms, longer than the longest keep time %v", longest, c.LongestKeep())
+		t.Errorf("an answer has a TTL of %d ms, more than the longest TTL %v", longest, c.LongestKeep())
 	}
 	if float64(longest) < 1.7*float64(shortest) {
-		t.Errorf("keep times from %d to %d ms: callers that asked together ask again together", shortest, longest)
+		t.Errorf("TTLs range from %d to %d ms only: callers that asked at the same time refresh at the same time", shortest, longest)
 	}
 }
 
