--- a/internal/control/loadview/ages.go
+++ b/internal/control/loadview/ages.go
@@ -8,75 +8,80 @@
 	"lynxhill.example/lynxhill/internal/wire/targetapi"
 )
 
-// ages turns the moments of targets' clocks into moments of ours.
-type ages struct {
-	mu       sync.Mutex // guards byTarget and what it points to
+// clockOffsets converts timestamps of targets' clocks to the local clock.
+type clockOffsets struct {
+	mu       sync.Mutex // guards byTarget and the values it points to
 	byTarget map[string]*offset
 }
 
-// offset is the difference between our clock and a target's, as far as it can
-// be told: the smallest one seen lately is the clocks' difference plus the
-// smallest lag.
+// offset estimates the difference between the local clock and a target's. The
+// smallest difference observed recently is the difference of the clocks plus the
+// smallest lag of a report.
 type offset struct {
-	smallest time.Duration
-	previous time.Duration // of the window before
-	began    time.Time     // of the current window
+	smallest    time.Duration
+	previous    time.Duration // smallest difference in the previous window
+	windowStart time.Time     // start of the current window
 }
 
 const (
-	// offsetWindow is how long a smallest offset is trusted without being
-	// seen again: clocks drift.
+	// offsetWindow is the length of the windows in which the smallest offset is
+	// tracked. An offset expires after its window and the next one unless it is
+	// observed again, because clocks drift.
 	offsetWindow = 5 * time.Minute
-	// clockStep is a jump of the offset that no lag explains.
+	// clockStep is the increase of the offset above which the target's clock is
+	// taken to have been set, since a lag would not be that long.
 	clockStep = time.Minute
 )
 
-// at returns when the report was true by our clock, never later than the given
-// moment. It also returns whether the target's clock was set meanwhile.
+// localTime returns the time by the local clock at which the report was true,
+// never later than asked. It also returns whether the target's clock was set in
+// the meantime.
 //
-// A constant lag can't be told from a difference of the clocks. Where both
-// clocks are kept (a small difference, behind ours), it counts as lag, the
-// reading that makes the report look older; beyond maxLag the target's clock
-// is wrong, and only the growth of the difference counts.
-func (a *ages) at(target string, report targetapi.LoadReport, asked time.Time, maxLag time.Duration) (time.Time, bool) {
+// A constant lag cannot be distinguished from a difference of the clocks. If the
+// target's clock is behind by at most maxLag, both clocks are assumed to be
+// synchronised and the difference is treated as lag, the interpretation that makes
+// the report look older. Beyond maxLag the target's clock is taken to be wrong,
+// and only the growth of the difference counts as lag.
+func (a *clockOffsets) localTime(target string, report targetapi.LoadReport, asked time.Time, maxLag time.Duration) (time.Time, bool) {
 	if report.AtMS == 0 {
 		return asked, false
 	}
-	theirs := time.UnixMilli(report.AtMS)
+	reported := time.UnixMilli(report.AtMS)
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	smallest, moved := a.observe(target, asked, asked.Sub(theirs))
+	smallest, stepped := a.update(target, asked, asked.Sub(reported))
 	if smallest >= 0 && smallest <= maxLag {
 		smallest = 0
 	}
-	at := theirs.Add(smallest)
+	at := reported.Add(smallest)
 	if at.After(asked) {
 		at = asked
 	}
-	return at, moved
+	return at, stepped
 }
 
-// observe notes a difference and returns the smallest one. a.mu is held.
-func (a *ages) observe(target string, now time.Time, difference time.Duration) (time.Duration, bool) {
+// update records a difference and returns the smallest recent one, and whether the
+// target's clock was set. a.mu must be held.
+func (a *clockOffsets) update(target string, now time.Time, difference time.Duration) (time.Duration, bool) {
 	o := a.byTarget[target]
 	if o == nil {
-		o = &offset{smallest: difference, previous: difference, began: now}
+		o = &offset{smallest: difference, previous: difference, windowStart: now}
 		a.byTarget[target] = o
 		return difference, false
 	}
-	moved := difference-min(o.smallest, o.previous) > clockStep
-	if moved {
-		*o = offset{smallest: difference, previous: difference, began: now}
+	stepped := difference-min(o.smallest, o.previous) > clockStep
+	if stepped {
+		*o = offset{smallest: difference, previous: difference, windowStart: now}
 	}
-	if now.Sub(o.began) > offsetWindow {
-		*o = offset{smallest: difference, previous: o.smallest, began: now}
+	if now.Sub(o.windowStart) > offsetWindow {
+		*o = offset{smallest: difference, previous: o.smallest, windowStart: now}
 	}
 	o.smallest = min(o.smallest, difference)
-	return min(o.smallest, o.previous), moved
+	return min(o.smallest, o.previous), stepped
 }
 
-// retain drops targets that are gone.
-func (a *ages) retain(targets map[string]board.Target) {
+// retain drops the state of targets that are not in targets.
+func (a *clockOffsets) retain(targets map[string]board.Target) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for id := range a.byTarget {
--- a/internal/control/loadview/bench_test.go
+++ b/internal/control/loadview/bench_test.go
@@ -15,20 +15,20 @@
 	b := board.New()
 	for i := range 370 {
 		id := fmt.Sprintf("i-%03d", i)
-		place, region := placeOf(i, 7)
-		b.Members.Put(id, board.Member{ID: id, State: board.MemberAlive, Place: place, Region: region})
+		zone, region := zoneOf(i, 7)
+		b.Members.Put(id, board.Member{ID: id, State: board.MemberAlive, Place: zone, Region: region})
 	}
 	c := New(Options{Board: b, Clock: quartz.NewReal(), Self: "i-000", Place: "place-0", Region: "region-0"})
 	for i := range 600 {
 		id := fmt.Sprintf("lynx-pool-%03d", i)
-		place, region := placeOf(i, 7)
-		b.Targets.Put(id, board.Target{ID: id, Place: place, Region: region})
+		zone, region := zoneOf(i, 7)
+		b.Targets.Put(id, board.Target{ID: id, Place: zone, Region: region})
 		c.Observe(id, targetapi.LoadReport{Seq: 1, Running: 3, Slots: 8})
 	}
 	return c
 }
 
-// BenchmarkFill is one digest at the size of letter 1.
+// BenchmarkFill measures one digest with 370 instances and 600 targets.
 func BenchmarkFill(b *testing.B) {
 	c := benchController()
 	b.ReportAllocs()
@@ -38,7 +38,7 @@
 	}
 }
 
-// BenchmarkAssign is one look at which targets to poll.
+// BenchmarkAssign measures one computation of the targets to poll.
 func BenchmarkAssign(b *testing.B) {
 	c := benchController()
 	targets := c.opts.Board.Targets.Snapshot()
@@ -46,7 +46,7 @@
 	for b.Loop() {
 		f := fleetOf(c.opts.Board, c.opts.Self, c.opts.Place, c.opts.Region)
 		for _, t := range targets {
-			f.polls(c.opts.Self, t, DefaultPollersPerTarget)
+			f.isPoller(c.opts.Self, t, DefaultPollersPerTarget)
 		}
 	}
 }
--- a/internal/control/loadview/cache.go
+++ b/internal/control/loadview/cache.go
@@ -11,7 +11,7 @@
 	"lynxhill.example/lynxhill/internal/wire/targetapi"
 )
 
-// pollCache asks an engine for its cache events.
+// pollCache requests an engine's new cache events and applies them to the board.
 func (c *Controller) pollCache(ctx context.Context, t board.Target) {
 	old, _ := c.opts.Board.Prefixes.Get(t.ID)
 	callCtx, cancel := loop.WithTimeout(ctx, c.opts.Clock, c.opts.CallTimeout)
@@ -28,9 +28,10 @@
 	c.opts.Board.Prefixes.Put(t.ID, next)
 }
 
-// applyEvents returns the set after the events, and whether events were lost.
-// After a gap the prefixes known stay as hints, but what is absent may be
-// cached. An engine that was restarted counts anew, and its cache is empty.
+// applyEvents returns the set of cached prefixes after the events, and whether
+// events were lost. After a gap the known prefixes stay as hints, but a prefix
+// that is not in the set may be cached. An engine that was restarted numbers its
+// events from 1 again, and its cache is empty.
 func applyEvents(old board.PrefixSet, events []targetapi.CacheEvent, limit int) (board.PrefixSet, bool) {
 	next := board.PrefixSet{Seq: old.Seq, Hashes: maps.Clone(old.Hashes), Gap: old.Gap}
 	if next.Hashes == nil {
--- a/internal/control/loadview/gossip.go
+++ b/internal/control/loadview/gossip.go
@@ -13,85 +13,86 @@
 )
 
 const (
-	// rowBytes is an estimate of a row's size in a digest without its strings.
+	// rowBytes is the estimated size of a row in a digest, without its strings.
 	rowBytes = 27
-	// modelBytes is the same for a model in a row.
+	// modelBytes is the estimated size of a model in a row, without its strings.
 	modelBytes = 10
-	// modelsFor is how long after a change of an engine's models its rows
-	// carry them; modelsEvery is how often they do otherwise, for those who
-	// missed the change.
-	modelsFor   = 10 * time.Second
-	modelsEvery = 16
-	// resends is how often, times the logarithm of the number of instances, a
-	// report is passed on by each who has it.
-	resends = 2
+	// For modelsResendTime after a change of an engine's models, all its rows
+	// carry the models. Otherwise one of modelsInterval rows does, for instances
+	// that missed the change.
+	modelsResendTime = 10 * time.Second
+	modelsInterval   = 16
+	// resendFactor, multiplied by the binary logarithm of the number of instances,
+	// is how many times each instance that has a report forwards it.
+	resendFactor = 2
 )
 
-// Shares of the budget for the classes of rows. What one leaves over goes to
-// the next.
+// Shares of the budget for rows of targets in the receiver's zone and in the rest
+// of its region. The other targets have the remainder. What one class leaves
+// unused goes to the next.
 const (
-	firstShare  = 0.6
-	secondShare = 0.3
+	zoneShare   = 0.6
+	regionShare = 0.3
 )
 
-// passing is what is remembered of a row that is passed on.
-type passing struct {
+// rowState is the state of the forwarding of one target's rows.
+type rowState struct {
 	seq           uint64
-	sent          int // how often this report was passed on
-	total         int // how often any report of the target was
+	sent          int // how often this report was forwarded
+	totalSent     int // how often any report of the target was forwarded
 	models        []targetapi.LoadedModel
 	role          string
 	modelsChanged time.Time
 }
 
-// spread decides which rows go into a digest.
-type spread struct {
-	mu   sync.Mutex // guards rows and what it points to
-	rows map[string]*passing
+// rowSelector holds the state by which rows are selected for a digest.
+type rowSelector struct {
+	mu   sync.Mutex // guards rows and the values it points to
+	rows map[string]*rowState
 }
 
 // candidate is a row that may go into a digest.
 type candidate struct {
 	target string
 	load   *board.Load // not copied, since sorting moves candidates
-	*passing
+	*rowState
 }
 
-// Fill implements gossip.Part: rows for the receiver's own place first, and
-// those that were passed on least.
+// Fill implements gossip.Part. Rows of targets in the receiver's zone go first,
+// and within a class those that were forwarded least.
 func (c *Controller) Fill(digest *gossip.Digest, to string, budget int) int {
 	now := c.opts.Clock.Now()
 	receiver, _ := c.opts.Board.Members.Get(to)
 	loads := c.opts.Board.Loads.Entries()
-	limit := resends * bits.Len(uint(c.opts.Board.Members.Len()+1))
+	limit := resendFactor * bits.Len(uint(c.opts.Board.Members.Len()+1))
 
-	c.spread.mu.Lock()
-	defer c.spread.mu.Unlock()
+	c.selector.mu.Lock()
+	defer c.selector.mu.Unlock()
 	byClass := c.candidates(loads, receiver, now, limit)
 	used := 0
-	for class, share := range []float64{firstShare, firstShare + secondShare, 1} {
+	for class, share := range []float64{zoneShare, zoneShare + regionShare, 1} {
 		until := int(share * float64(budget))
 		used = c.fillFrom(digest, byClass[class], used, until, now)
 	}
 	return used
 }
 
-// candidates returns the rows worth passing on, by class and those passed
-// on least first. c.spread.mu is held.
+// candidates returns the rows worth forwarding, by class; within a class those
+// forwarded least come first. c.selector.mu must be held.
 func (c *Controller) candidates(loads []board.Entry[board.Load], receiver board.Member, now time.Time, limit int) [3][]candidate {
 	var found [3][]candidate
 	for i := range loads {
 		id, load := loads[i].Key, &loads[i].Value
 		t, known := c.opts.Board.Targets.Get(id)
-		if !known || load.Report.Seq == 0 || load.Via == receiver.ID && receiver.ID != "" || now.Sub(load.At) > c.opts.PassOnAge {
+		if !known || load.Report.Seq == 0 || load.Via == receiver.ID && receiver.ID != "" || now.Sub(load.At) > c.opts.MaxGossipAge {
 			continue
 		}
-		p := c.spread.passing(id, *load, now)
+		p := c.selector.state(id, *load, now)
 		if p.sent >= limit {
 			continue
 		}
 		class := nearness(t, receiver)
-		found[class] = append(found[class], candidate{target: id, load: load, passing: p})
+		found[class] = append(found[class], candidate{target: id, load: load, rowState: p})
 	}
 	for _, rows := range found {
 		slices.SortFunc(rows, compare)
@@ -99,7 +100,7 @@
 	return found
 }
 
-// compare orders rows: passed on least first, then the newest.
+// compare orders rows: those forwarded least first, then the newest.
 func compare(a, b candidate) int {
 	if a.sent != b.sent {
 		return a.sent - b.sent
@@ -110,7 +111,8 @@
 	return strings.Compare(a.target, b.target)
 }
 
-// nearness is 0 for a target in the member's place, 1 in its region, else 2.
+// nearness returns the class of a target's rows: 0 if the target is in the
+// receiver's zone, 1 if it is in another zone of the region, else 2.
 func nearness(t board.Target, receiver board.Member) int {
 	switch {
 	case t.Place == receiver.Place:
@@ -122,11 +124,11 @@
 	}
 }
 
-// passing returns what is remembered of the target, brought up to the load.
-func (s *spread) passing(id string, load board.Load, now time.Time) *passing {
+// state returns the target's state, updated to the given load.
+func (s *rowSelector) state(id string, load board.Load, now time.Time) *rowState {
 	p := s.rows[id]
 	if p == nil {
-		p = &passing{}
+		p = &rowState{}
 		s.rows[id] = p
 	}
 	if p.seq != load.Report.Seq {
@@ -138,7 +140,7 @@
 	return p
 }
 
-func sameModels(p *passing, r targetapi.LoadReport) bool {
+func sameModels(p *rowState, r targetapi.LoadReport) bool {
 	return p.role == r.Role && slices.EqualFunc(p.models, r.Models, equalModel)
 }
 
@@ -146,7 +148,8 @@
 	return a.Model == b.Model && a.Version == b.Version && a.Ready == b.Ready && slices.Equal(a.Adapters, b.Adapters)
 }
 
-// fillFrom adds rows until the digest's share is used up.
+// fillFrom adds rows to the digest until the next one would exceed until, and
+// returns the bytes used.
 func (c *Controller) fillFrom(digest *gossip.Digest, rows []candidate, used, until int, now time.Time) int {
 	for _, row := range rows {
 		digestRow, size := row.digest(now)
@@ -155,14 +158,14 @@
 		}
 		used += size
 		row.sent++
-		row.total++
+		row.totalSent++
 		digest.Loads = append(digest.Loads, digestRow)
 		c.opts.Metrics.Counter(metricRowsSent).Add(1)
 	}
 	return used
 }
 
-// digest returns the row as it is passed on, and its size.
+// digest returns the row as it is sent, and its estimated size in bytes.
 func (r candidate) digest(now time.Time) (gossip.Load, int) {
 	report := r.load.Report
 	row := gossip.Load{
@@ -171,7 +174,7 @@
 		MeanMS: report.MeanMS, KVUsed: report.KVUsed, Leaving: report.Leaving,
 	}
 	size := rowBytes + len(r.target)
-	if now.Sub(r.modelsChanged) < modelsFor || r.total%modelsEvery == 0 {
+	if now.Sub(r.modelsChanged) < modelsResendTime || r.totalSent%modelsInterval == 0 {
 		size += r.addModels(&row)
 	}
 	return row, size
@@ -190,8 +193,8 @@
 	return size
 }
 
-// retain drops targets that are gone.
-func (s *spread) retain(targets map[string]board.Target) {
+// retain drops the state of targets that are not in targets.
+func (s *rowSelector) retain(targets map[string]board.Target) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id := range s.rows {
@@ -201,9 +204,8 @@
 	}
 }
 
-// Absorb implements gossip.Part. The age of a row is raised by the time that
-// the digest can have been under way, so that a report never looks newer than
-// it is.
+// Absorb implements gossip.Part. It adds the time that the digest can have been in
+// transit to the age of each row, so that a report never looks newer than it is.
 func (c *Controller) Absorb(digest gossip.Digest) {
 	now := c.opts.Clock.Now()
 	transit := digest.Transit
@@ -222,7 +224,8 @@
 	}
 }
 
-// mergeRow merges a passed-on row. A row without models keeps those known.
+// mergeRow merges a row received from a peer and reports whether it was newer. If
+// the row has no models, the known ones are kept.
 func (c *Controller) mergeRow(row gossip.Load, now, at time.Time, from string) bool {
 	load := board.Load{Received: now, At: at, Via: from, Report: targetapi.LoadReport{
 		Target: row.Target, Seq: row.Seq, AtMS: at.UnixMilli(), Running: row.Running, Queued: row.Queued,
--- a/internal/control/loadview/loadview.go
+++ b/internal/control/loadview/loadview.go
@@ -24,23 +24,23 @@
 
 const (
 	jitter       = 0.2
-	assignPeriod = time.Second // how often the set of targets to poll is looked at
+	assignPeriod = time.Second // interval at which the set of targets to poll is recomputed
 )
 
-// Controller keeps board.Loads and board.Prefixes. It is a gossip.Part.
+// Controller maintains board.Loads and board.Prefixes. It implements gossip.Part.
 type Controller struct {
-	opts   Options
-	rand   *loop.Rand
-	ages   ages
-	spread spread
+	opts     Options
+	rand     *loop.Rand
+	offsets  clockOffsets
+	selector rowSelector
 }
 
 // New returns a controller.
 func New(opts Options) *Controller {
 	return &Controller{
 		opts: opts.withDefaults(), rand: loop.NewRand(opts.Rand),
-		ages:   ages{byTarget: make(map[string]*offset)},
-		spread: spread{rows: make(map[string]*passing)},
+		offsets:  clockOffsets{byTarget: make(map[string]*offset)},
+		selector: rowSelector{rows: make(map[string]*rowState)},
 	}
 }
 
@@ -54,25 +54,25 @@
 	polls.Stop()
 }
 
-// assign starts and stops the polling of targets as the members change, and
-// drops what is remembered of targets that are off the board.
+// assign starts and stops the polling of targets as the members change, and drops
+// the state of targets that are no longer on the board.
 func (c *Controller) assign(ctx context.Context, polls *loop.Tasks) {
 	targets := c.opts.Board.Targets.Snapshot()
 	f := fleetOf(c.opts.Board, c.opts.Self, c.opts.Place, c.opts.Region)
 	var own []string
 	for id, t := range targets {
-		if f.polls(c.opts.Self, t, c.opts.PollersPerTarget) {
+		if f.isPoller(c.opts.Self, t, c.opts.PollersPerTarget) {
 			own = append(own, id)
 		}
 	}
 	polls.Keep(ctx, own)
-	c.ages.retain(targets)
-	c.spread.retain(targets)
+	c.offsets.retain(targets)
+	c.selector.retain(targets)
 	c.opts.Metrics.Counter(metricPolled).Set(int64(polls.Len()))
 }
 
-// poll asks one target for its load, and an engine for its cache events, until
-// ctx ends.
+// poll requests the load of one target, and the cache events if the target is an
+// engine, periodically until ctx ends.
 func (c *Controller) poll(ctx context.Context, id string) {
 	if !loop.Sleep(ctx, c.opts.Clock, time.Duration(c.rand.Float64()*float64(c.opts.PollEvery))) {
 		return
@@ -107,31 +107,33 @@
 	}
 	c.opts.Metrics.Labelled(metricPolls).Add("answered", 1)
 	if report.Models == nil {
-		report.Models = []targetapi.LoadedModel{} // none; nil stands for not told
+		report.Models = []targetapi.LoadedModel{} // no models; nil would mean that the report does not include them
 	}
-	c.take(t.ID, report, asked, "")
+	c.mergeReport(t.ID, report, asked, "")
 }
 
-// Observe takes in a report that rode on a target's response which came now. One
-// without models keeps those known: replies need not tell them.
+// Observe merges a report that was piggybacked on a target's response received
+// now. If the report has no models, the known ones are kept, since replies need
+// not include them.
 func (c *Controller) Observe(target string, report targetapi.LoadReport) {
-	c.take(target, report, c.opts.Clock.Now(), "")
+	c.mergeReport(target, report, c.opts.Clock.Now(), "")
 }
 
-// take merges a report by the target itself that was true at the moment at or
-// before.
-func (c *Controller) take(target string, report targetapi.LoadReport, at time.Time, via string) {
-	trueAt, moved := c.ages.at(target, report, at, c.opts.MaxLag)
-	if moved {
+// mergeReport merges a report that comes from the target itself and was true at
+// the time at or earlier.
+func (c *Controller) mergeReport(target string, report targetapi.LoadReport, at time.Time, via string) {
+	trueAt, stepped := c.offsets.localTime(target, report, at, c.opts.MaxLag)
+	if stepped {
 		c.opts.Logger.Log(event.TargetClockMoved, "target", target)
 	}
-	c.merge(target, board.Load{Report: report, Received: c.opts.Clock.Now(), At: trueAt, Via: via})
+	c.mergeLoad(target, board.Load{Report: report, Received: c.opts.Clock.Now(), At: trueAt, Via: via})
 }
 
-// merge writes the load unless the board has a later one. A target that was
-// restarted has an empty prefix cache and numbers its cache events anew: asked
-// for those after the old number, it would tell of none for a long time.
-func (c *Controller) merge(target string, load board.Load) {
+// mergeLoad writes the load to the board unless the board has a later one. It
+// also deletes the stored prefixes of a target that was restarted: such a target
+// has an empty prefix cache and numbers its cache events from 1 again, so that a
+// request for events after the old number would return none for a long time.
+func (c *Controller) mergeLoad(target string, load board.Load) {
 	restarted := false
 	c.opts.Board.Loads.Update(target, func(old board.Load, found bool) (board.Load, bool) {
 		if found && !newer(load, old) {
@@ -148,12 +150,12 @@
 	}
 }
 
-// restartAfter is by how much a report with a lower number has to be younger
-// to count as the first ones of a target that was restarted.
+// restartAfter is how much later a report with a lower sequence number must be
+// for the target to count as restarted.
 const restartAfter = 3 * time.Second
 
-// newer reports whether load is a later report than old. The target's numbers
-// decide; ages decide only when the target seems to count anew.
+// newer reports whether load is a later report than old. The target's sequence
+// numbers decide; ages decide only when the numbers seem to have restarted.
 func newer(load, old board.Load) bool {
 	if load.Report.Seq > old.Report.Seq {
 		return true
@@ -161,7 +163,7 @@
 	return load.Report.Seq < old.Report.Seq && load.At.After(old.At.Add(restartAfter))
 }
 
-// MeanAge is the mean age of the reports on the board.
+// MeanAge returns the mean age of the reports on the board.
 func (c *Controller) MeanAge() time.Duration {
 	loads := c.opts.Board.Loads.Snapshot()
 	if len(loads) == 0 {
--- a/internal/control/loadview/loadview_test.go
+++ b/internal/control/loadview/loadview_test.go
@@ -20,20 +20,20 @@
 	return New(Options{Board: b, Clock: quartz.NewReal(), Self: self, Place: "lac-a", Region: "tunis"})
 }
 
-// pass hands the loads of one instance to another after a delay on the way.
-func pass(from, to *Controller, way time.Duration) gossip.Digest {
+// sendDigest sends a digest from one instance to another with a transit delay.
+func sendDigest(from, to *Controller, delay time.Duration) gossip.Digest {
 	digest := gossip.Digest{From: from.opts.Self}
 	from.Fill(&digest, to.opts.Self, 1<<20)
-	time.Sleep(way)
+	time.Sleep(delay)
 	to.Absorb(digest)
 	return digest
 }
 
-// Symptom: many instances pick a target that was free seconds ago.
-// Events: a report is passed on over several instances whose clocks differ by
-// an hour from the target's. Cause: a passed-on report looked as new as its
+// Guards against many instances choosing a target that was free seconds ago: a
+// report is forwarded through several instances while the target's clock differs
+// from theirs by an hour, and a forwarded report counts as being as new as its
 // arrival.
-func TestPassedOnReportsNeverLookNewer(t *testing.T) {
+func TestGossipedReportsNeverLookNewer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, skew := range []time.Duration{0, time.Hour, -time.Hour} {
 			chain := []*Controller{controller("i-0"), controller("i-1"), controller("i-2")}
@@ -41,7 +41,7 @@
 			trueAt := time.Now()
 			for i := range chain[:2] {
 				time.Sleep(time.Second)
-				pass(chain[i], chain[i+1], 80*time.Millisecond)
+				sendDigest(chain[i], chain[i+1], 80*time.Millisecond)
 			}
 			load, found := chain[2].opts.Board.Loads.Get("t-1")
 			if !found {
@@ -57,7 +57,7 @@
 	})
 }
 
-func TestLagGrowsTheAge(t *testing.T) {
+func TestLagIncreasesAge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := controller("i-0")
 		skew := -time.Hour
@@ -66,7 +66,7 @@
 		c.Observe("t-1", targetapi.LoadReport{Seq: 2, AtMS: time.Now().Add(skew - 4*time.Second).UnixMilli()})
 		load, _ := c.opts.Board.Loads.Get("t-1")
 		if age := time.Since(load.At).Round(time.Millisecond); age != 4*time.Second {
-			t.Errorf("age of a report that lags 4 s on a wrong clock: %v", age)
+			t.Errorf("age of a report with a lag of 4 s and a wrong clock: %v", age)
 		}
 	})
 }
@@ -75,12 +75,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := controller("i-0")
 		now := time.Now()
-		c.take("t-1", targetapi.LoadReport{Seq: 7, Running: 7}, now, "")
+		c.mergeReport("t-1", targetapi.LoadReport{Seq: 7, Running: 7}, now, "")
 		c.Absorb(gossip.Digest{From: "i-1", Loads: []gossip.Load{{Target: "t-1", Seq: 6, Running: 6}, {Target: "t-1", Seq: 7, Running: 8}}})
 		if load, _ := c.opts.Board.Loads.Get("t-1"); load.Report.Running != 7 {
 			t.Errorf("an older or equal report replaced the one held: %+v", load)
 		}
-		time.Sleep(time.Minute) // the target is restarted and counts anew
+		time.Sleep(time.Minute) // the target restarts and numbers its reports from 1
 		c.Absorb(gossip.Digest{From: "i-1", Loads: []gossip.Load{{Target: "t-1", Seq: 1, Running: 1}}})
 		if load, _ := c.opts.Board.Loads.Get("t-1"); load.Report.Running != 1 {
 			t.Errorf("the first report after a restart was dropped: %+v", load)
--- a/internal/control/loadview/observing.go
+++ b/internal/control/loadview/observing.go
@@ -7,9 +7,9 @@
 	"lynxhill.example/lynxhill/internal/wire/targetapi"
 )
 
-// Observing returns a caller that tells observe of the load reports that ride
-// on the replies of stage calls: for the targets that this instance uses itself
-// they are newer than any poll.
+// Observing returns a caller that passes to observe the load reports piggybacked
+// on the replies of stage calls. For targets that this instance calls itself,
+// these reports are newer than those of polls.
 func Observing(caller stagecall.Caller, observe func(target string, report targetapi.LoadReport)) stagecall.Caller {
 	return observing{Caller: caller, observe: observe}
 }
--- a/internal/control/loadview/options.go
+++ b/internal/control/loadview/options.go
@@ -1,7 +1,8 @@
-// Package loadview keeps the board's loads: each target is polled by a few
-// instances, and digests are passed on with the heartbeats within a budget of
-// bytes. Reports are aged by what they lag, and never look newer than they
-// are. Clocks of instances differ, so that ages are passed on, not moments.
+// Package loadview maintains the load of each target on the board. Each target is
+// polled by a few instances, which gossip its load to the others: heartbeats carry
+// digests of load rows within a byte budget. A report's lag is added to its age,
+// so that a report never looks newer than it is. Since the instances' clocks
+// differ, digests carry ages, not points in time.
 package loadview
 
 import (
@@ -24,7 +25,7 @@
 	DefaultCallTimeout      = 800 * time.Millisecond
 	DefaultTransit          = 100 * time.Millisecond
 	DefaultMaxLag           = 5 * time.Second
-	DefaultPassOnAge        = 10 * time.Second
+	DefaultMaxGossipAge     = 10 * time.Second
 	DefaultMaxPrefixes      = 4096
 )
 
@@ -39,24 +40,24 @@
 	Self    string
 	Place   string
 	Region  string
-	// PollEvery is how often each poller of a target asks for its load.
+	// PollEvery is the interval at which each poller of a target requests its load.
 	PollEvery time.Duration
 	// PollersPerTarget is the number of instances that poll a target.
 	PollersPerTarget int
-	// CachePollEvery is how often an engine's cache events are asked for.
+	// CachePollEvery is the interval at which an engine's cache events are requested.
 	CachePollEvery time.Duration
-	// CallTimeout is the longest wait for a poll.
+	// CallTimeout is the timeout of a poll.
 	CallTimeout time.Duration
-	// Transit is added to the age of passed-on rows whose digest does not say
-	// how long it can have been under way.
+	// Transit is added to the age of the rows of a digest that does not state how
+	// long it can have been in transit.
 	Transit time.Duration
-	// MaxLag is the greatest difference between a target's clock and ours that
-	// counts as the lag of its reports; a greater one counts as a clock that
-	// is wrong.
+	// MaxLag is the greatest difference between a target's clock and the local
+	// clock that is treated as lag of the target's reports. If the difference is
+	// greater, the target's clock is taken to be wrong.
 	MaxLag time.Duration
-	// PassOnAge is the age up to which rows are passed on.
-	PassOnAge time.Duration
-	// MaxPrefixes bounds the prefixes remembered of one engine.
+	// MaxGossipAge is the age up to which rows are forwarded.
+	MaxGossipAge time.Duration
+	// MaxPrefixes bounds the number of cached prefixes stored per engine.
 	MaxPrefixes int
 }
 
@@ -66,7 +67,7 @@
 	defaults.Positive(&o.CallTimeout, DefaultCallTimeout)
 	defaults.Positive(&o.Transit, DefaultTransit)
 	defaults.Positive(&o.MaxLag, DefaultMaxLag)
-	defaults.Positive(&o.PassOnAge, DefaultPassOnAge)
+	defaults.Positive(&o.MaxGossipAge, DefaultMaxGossipAge)
 	defaults.Positive(&o.PollersPerTarget, DefaultPollersPerTarget)
 	defaults.Positive(&o.MaxPrefixes, DefaultMaxPrefixes)
 	return o
--- a/internal/control/loadview/pollers_test.go
+++ b/internal/control/loadview/pollers_test.go
@@ -42,7 +42,7 @@
 		}
 		f := fleetOf(b, id, m.Place, m.Region)
 		for target, t := range b.Targets.Snapshot() {
-			if f.polls(id, t, pollers) {
+			if f.isPoller(id, t, pollers) {
 				counts[target]++
 			}
 		}
@@ -50,10 +50,10 @@
 	return counts
 }
 
-// Symptom: nobody looks at a target's load after instances were lost.
-// Events: instances die one after another, in the end all of a place.
-// Cause: the pollers were picked once, or only within the place.
-func TestEveryTargetIsPolledByAFew(t *testing.T) {
+// Guards against targets whose load no instance polls after instances were lost:
+// instances die one after another, in the end all of a zone, and the pollers were
+// chosen only once or only within the zone.
+func TestEveryTargetKeepsItsPollers(t *testing.T) {
 	b := boardOf(16, 40)
 	for _, dead := range []int{-1, 0, 4, 8, 12, 1, 5, 9} {
 		if dead >= 0 {
@@ -71,7 +71,7 @@
 	}
 }
 
-// engineCaller is an engine whose cache events are lost in part and that is
+// engineCaller simulates an engine that loses some of its cache events and is
 // restarted.
 type engineCaller struct {
 	stagecall.Caller
@@ -107,10 +107,10 @@
 	return events, nil
 }
 
-// Symptom: an engine's prefix cache is never seen again after its restart.
-// Events: the engine restarts and counts its events from 1; the poller asks for
-// those after the old number. Cause: the old number outlived the engine.
-func TestRestartedEngineIsSeenAnew(t *testing.T) {
+// Guards against an engine's prefix cache staying unknown after its restart: the
+// engine numbers its events from 1 again, while the poller still requests those
+// after the old number.
+func TestPrefixesAreRelearnedAfterEngineRestart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := board.New()
 		b.Targets.Put("e", board.Target{ID: "e", Kind: profile.KindGenerate})
@@ -142,7 +142,7 @@
 	})
 }
 
-func TestDigestsKeepToTheBudget(t *testing.T) {
+func TestDigestsStayWithinTheBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := boardOf(16, 40)
 		c := New(Options{Board: b, Clock: quartz.NewReal(), Self: "i-00", Place: "p-0", Region: "tunis"})
@@ -157,21 +157,21 @@
 				size += rowBytes + len(row.Target)
 			}
 			if used > budget || size > used {
-				t.Fatalf("budget %d: says %d, rows alone are %d", budget, used, size)
+				t.Fatalf("budget %d: Fill returned %d bytes, rows without models have %d", budget, used, size)
 			}
 		}
 	})
 }
 
-// Symptom: work for a model goes to engines that do not have it.
-// Events: an engine's models change; its rows are passed on, most of them
-// without the models, to save bytes. Cause: the change was not passed on.
-func TestChangesOfModelsArePassedOn(t *testing.T) {
+// Guards against work for a model going to engines that do not have it: an
+// engine's models change, and the change is not forwarded because most rows omit
+// the models to save bytes.
+func TestModelChangesAreGossiped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		from, to := controller("i-0"), controller("i-1")
 		report := func(seq uint64, models ...targetapi.LoadedModel) {
 			from.Observe("t-1", targetapi.LoadReport{Seq: seq, Models: append([]targetapi.LoadedModel{}, models...)})
-			pass(from, to, time.Millisecond)
+			sendDigest(from, to, time.Millisecond)
 			time.Sleep(time.Second)
 		}
 		models := func() []targetapi.LoadedModel {
@@ -188,10 +188,10 @@
 		if got := models(); len(got) != 2 || got[1].Ready {
 			t.Errorf("models %v after v2 began to load", got)
 		}
-		from.Observe("t-1", targetapi.LoadReport{Seq: 42}) // a reply that does not tell
-		pass(from, to, time.Millisecond)
+		from.Observe("t-1", targetapi.LoadReport{Seq: 42}) // a reply without models
+		sendDigest(from, to, time.Millisecond)
 		if got := models(); len(got) != 2 {
-			t.Errorf("models %v after a reply that does not tell them", got)
+			t.Errorf("models %v after a reply without models", got)
 		}
 		report(43, []targetapi.LoadedModel{}...)
 		if got := models(); got == nil || len(got) != 0 {
@@ -207,7 +207,7 @@
 	return stagecall.Result{Load: &targetapi.LoadReport{Target: t.ID, Seq: 9, Running: 5, AtMS: time.Now().UnixMilli()}}, nil
 }
 
-func TestReportsOnRepliesAreTaken(t *testing.T) {
+func TestReportsOnRepliesAreMerged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := controller("i-0")
 		caller := Observing(runCaller{}, c.Observe)
--- a/internal/control/loadview/trial_test.go
+++ b/internal/control/loadview/trial_test.go
@@ -24,8 +24,8 @@
 // trialSizes runs the trial at all sizes: go test -run Trial -trial -v.
 var trialSizes = flag.Bool("trial", false, "measure the load view at all sizes")
 
-// reportEvery is how often a target of the trial makes a new report; with the
-// poll it makes the age of an own poll.
+// reportEvery is the interval at which a simulated target makes a new report. The
+// age of a polled report is up to this interval plus the poll's.
 const reportEvery = 200 * time.Millisecond
 
 // trialTargets answers polls with reports that are up to reportEvery old.
@@ -44,17 +44,17 @@
 	}, nil
 }
 
-// trialCase is a size with a way to keep the view.
+// trialCase is a size of the simulated system and a way to maintain the view.
 type trialCase struct {
-	instances, targets, places int
-	pollers                    int     // for each target
-	budget                     int     // bytes of load rows in a digest; 0: no digests
-	nearby                     float64 // share of the heartbeats that go to the own place
+	instances, targets, zones int
+	pollers                   int     // for each target
+	budget                    int     // bytes of load rows in a digest; 0: no digests
+	nearby                    float64 // share of the heartbeats that go to the sender's zone
 }
 
 type trialResult struct {
-	pollsPerSecond float64 // an instance
-	bytesPerSecond float64 // of load rows, sent and received, an instance
+	pollsPerSecond float64 // per instance
+	bytesPerSecond float64 // of load rows, sent and received, per instance
 	rowsPerSecond  float64
 	known          [3]float64 // share of the targets known, by nearness
 	mean, p99      [3]time.Duration
@@ -69,18 +69,18 @@
 	rows, size atomic.Int64
 }
 
-func placeOf(i, places int) (string, string) {
-	p := i % places
-	return fmt.Sprint("place-", p), fmt.Sprint("region-", p*2/places)
+func zoneOf(i, zones int) (string, string) {
+	p := i % zones
+	return fmt.Sprint("place-", p), fmt.Sprint("region-", p*2/zones)
 }
 
 func newTrialFleet(c trialCase) *trialFleet {
 	f := &trialFleet{c: c, caller: &trialTargets{}, rng: rand.New(rand.NewPCG(4, 2))}
 	members := make(map[string]board.Member)
 	for i := range c.instances {
-		place, region := placeOf(i, c.places)
+		zone, region := zoneOf(i, c.zones)
 		id := fmt.Sprintf("i-%03d", i)
-		members[id] = board.Member{ID: id, State: board.MemberAlive, Place: place, Region: region}
+		members[id] = board.Member{ID: id, State: board.MemberAlive, Place: zone, Region: region}
 	}
 	for i := range c.instances {
 		f.members = append(f.members, f.newMember(i, members))
@@ -94,18 +94,19 @@
 		b.Members.Put(id, m)
 	}
 	for j := range f.c.targets {
-		place, region := placeOf(j, f.c.places)
+		zone, region := zoneOf(j, f.c.zones)
 		id := fmt.Sprintf("lynx-pool-%03d", j)
-		b.Targets.Put(id, board.Target{ID: id, Kind: profile.KindEncode, Place: place, Region: region})
+		b.Targets.Put(id, board.Target{ID: id, Kind: profile.KindEncode, Place: zone, Region: region})
 	}
-	place, region := placeOf(i, f.c.places)
+	zone, region := zoneOf(i, f.c.zones)
 	return New(Options{
 		Caller: f.caller, Board: b, Clock: quartz.NewReal(), Rand: rand.New(rand.NewPCG(uint64(i), 3)),
-		Self: fmt.Sprintf("i-%03d", i), Place: place, Region: region, PollersPerTarget: f.c.pollers,
+		Self: fmt.Sprintf("i-%03d", i), Place: zone, Region: region, PollersPerTarget: f.c.pollers,
 	})
 }
 
-// exchange is one heartbeat of everybody: a digest each way with one other.
+// exchange runs one heartbeat of every instance: it exchanges digests with one
+// other instance.
 func (f *trialFleet) exchange() {
 	for i, from := range f.members {
 		to := f.members[f.partner(i)]
@@ -114,12 +115,13 @@
 	}
 }
 
-// partner picks another instance, a share of the time one of the same place.
+// partner returns a random other instance; with probability nearby, one of the
+// same zone.
 func (f *trialFleet) partner(i int) int {
 	near := f.rng.Float64() < f.c.nearby
 	for {
 		j := f.rng.IntN(len(f.members))
-		if j != i && (!near || j%f.c.places == i%f.c.places) {
+		if j != i && (!near || j%f.c.zones == i%f.c.zones) {
 			return j
 		}
 	}
@@ -132,7 +134,7 @@
 	to.Absorb(d)
 }
 
-// measure runs the fleet and measures the last seconds.
+// measure runs the fleet for warm seconds and then measures it for seconds.
 func (f *trialFleet) measure(warm, seconds int) trialResult {
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
@@ -169,8 +171,8 @@
 	return r
 }
 
-// collect samples the ages in the views of some instances. The target's clock
-// is the instances', so that the true age is known.
+// collect samples the ages in the views of some instances. Targets and instances
+// share one clock, so that the true age is known.
 func (f *trialFleet) collect(ages *[3][]time.Duration, wanted *[3]int) (newer int) {
 	now := time.Now()
 	for i := 0; i < len(f.members); i += max(1, len(f.members)/16) {
@@ -207,23 +209,23 @@
 	return sum / time.Duration(len(all)), all[len(all)*99/100]
 }
 
-// trialBudget is what heartbeats once a second leave for load rows in each of
-// four digests, of 16 KB a second for all control.
+// trialBudget is the budget in bytes for load rows of each of the four digests
+// that heartbeats send per second, out of 16 KB per second for all control traffic.
 const trialBudget = 2500
 
-// TestTrialViewAge holds the view at today's size to its bounds; with -trial it
-// measures both ways at all sizes.
+// TestTrialViewAge checks the ages of the load view at a size of 8 instances. With
+// -trial it measures gossip and direct polling at all sizes.
 func TestTrialViewAge(t *testing.T) {
-	cases := []trialCase{{instances: 8, targets: 12, places: 4, pollers: 2, budget: trialBudget}}
+	cases := []trialCase{{instances: 8, targets: 12, zones: 4, pollers: 2, budget: trialBudget}}
 	if *trialSizes {
 		cases = nil
 		for _, instances := range []int{8, 64, 370} {
 			for _, targets := range []int{12, 600} {
-				places := 4
+				zones := 4
 				if instances > 8 {
-					places = 7
+					zones = 7
 				}
-				size := trialCase{instances: instances, targets: targets, places: places}
+				size := trialCase{instances: instances, targets: targets, zones: zones}
 				digests, near, subsets := size, size, size
 				digests.pollers, digests.budget = 2, trialBudget
 				near.pollers, near.budget, near.nearby = 2, trialBudget, 0.5
@@ -241,7 +243,7 @@
 				t.Errorf("%d rows look newer than they are", r.newer)
 			}
 			if c.targets == 12 && c.budget > 0 && (r.known[0] < 1 || r.known[1] < 1 || c.instances == 8 && r.mean[0] > 2*time.Second) {
-				t.Errorf("known %v, mean age in the place %v", r.known, r.mean[0])
+				t.Errorf("known %v, mean age in the zone %v", r.known, r.mean[0])
 			}
 		})
 	}
