--- a/internal/control/limits/bench_test.go
+++ b/internal/control/limits/bench_test.go
@@ -12,13 +12,12 @@
 	"lynxhill.example/lynxhill/internal/wire/lynxapi"
 )
 
-// benchActive is how many organisations have demand.
+// benchActive is the number of organisations with demand.
 const benchActive = 1000
 
-// BenchmarkTick measures one computation of all shares, with 370 instances
-// that each told 40 organisations
-// of benchActive, and the memory of the controller and its
-// tables, once the shares have settled.
+// BenchmarkTick measures one computation of the shares after they have settled,
+// with 370 instances that each reported 40 of the benchActive organisations. It
+// also measures the memory of the controller and its tables.
 func BenchmarkTick(b *testing.B) {
 	for _, n := range []int{100, 1000, 5000, 19000} {
 		b.Run(fmt.Sprintf("organisations=%d", n), func(b *testing.B) {
@@ -37,7 +36,7 @@
 	}
 }
 
-// BenchmarkFill measures the bytes of a digest with no bound on them.
+// BenchmarkFill measures filling a digest with a budget of 1 MiB, and its size.
 func BenchmarkFill(b *testing.B) {
 	c := benchController(19000, 370)
 	c.Tick()
@@ -50,8 +49,7 @@
 	b.ReportMetric(float64(used), "B/digest")
 }
 
-// BenchmarkStep measures a look at the board after a change of one of 19,000
-// limits.
+// BenchmarkStep measures Step after a change of one of 19,000 limits.
 func BenchmarkStep(b *testing.B) {
 	bd := board.New()
 	c := New(Options{Board: bd, Admitter: fixedUse{}, Self: "i000", Clock: quartz.NewReal()})
--- a/internal/control/limits/limits_test.go
+++ b/internal/control/limits/limits_test.go
@@ -15,7 +15,7 @@
 	"lynxhill.example/lynxhill/internal/wire/lynxapi"
 )
 
-// fixedUse is the use of one instance.
+// fixedUse is the usage of one instance, in requests per second by organisation.
 type fixedUse map[string]float64
 
 func (u fixedUse) Usage() []gossip.Usage {
@@ -26,7 +26,7 @@
 	return rows
 }
 
-// putLimit puts a limit on the board as profile sync does; the version rises.
+// putLimit puts a limit on the board as profile sync does, with the next version.
 func putLimit(b *board.Board, organisation string, rate float64, concurrent int) {
 	value, _ := json.Marshal(lynxapi.OrganisationLimit{Organisation: organisation, RatePerSecond: rate, Concurrent: concurrent})
 	putObject(b, organisation, board.ConfigObject{Value: value})
@@ -48,7 +48,7 @@
 		go func() { c.Run(ctx); close(ended) }()
 		time.Sleep(3 * time.Second)
 		if l, _ := b.Limits.Get("a"); l.RatePerSecond != 10 || l.Concurrent != 4 {
-			t.Errorf("limit of a lone instance %+v, want all of it", l)
+			t.Errorf("share of a single instance is %+v, want the whole limit", l)
 		}
 		time.Sleep(15 * time.Second)
 		putLimit(b, "a", 20, 0)
@@ -59,7 +59,7 @@
 		putObject(b, "a", board.ConfigObject{Value: []byte("no limit")})
 		time.Sleep(2 * time.Second)
 		if l, _ := b.Limits.Get("a"); l.RatePerSecond < 19 {
-			t.Errorf("limit %+v after an object that cannot be read, want the one before", l)
+			t.Errorf("limit %+v after an object that cannot be decoded, want the previous limit", l)
 		}
 		putObject(b, "a", board.ConfigObject{Deleted: true})
 		time.Sleep(2 * time.Second)
@@ -76,7 +76,7 @@
 		for _, limit := range []int{1, 2, 5, 7, 50, 1000} {
 			sum := 0
 			for rank := range n {
-				c := crowd{known: n, visible: n, heard: n, rank: rank}
+				c := population{known: n, visible: n, reporting: n, rank: rank}
 				l := c.shareOf(lynxapi.OrganisationLimit{Concurrent: limit}, 1, float64(n-1), 12345)
 				sum += max(l.Concurrent, 0)
 				if l.Concurrent == 0 {
@@ -98,13 +98,13 @@
 		if rank == 0 {
 			own = 200
 		}
-		c := crowd{known: n, visible: n, heard: n, rank: rank}
+		c := population{known: n, visible: n, reporting: n, rank: rank}
 		part := c.part(limit, own, 200+n-1)
 		sum += part
 		if rank == 0 && part < 0.65 {
 			t.Errorf("the instance with nearly all demand gets %.2f of the limit", part)
 		}
-		if rank > 0 && part < equalShare/n {
+		if rank > 0 && part < evenShare/n {
 			t.Errorf("an instance with little demand gets %.3f, below the floor", part)
 		}
 	}
@@ -134,6 +134,6 @@
 		t.Errorf("first row %s, want the one nearest to its limit", d.Usage[1].Organisation)
 	}
 	if n := c.Fill(&d, "i1", 0); n != 0 {
-		t.Errorf("%d bytes of a budget of none", n)
+		t.Errorf("%d bytes used of a budget of 0", n)
 	}
 }
--- a/internal/control/limits/objects.go
+++ b/internal/control/limits/objects.go
@@ -10,31 +10,33 @@
 	"lynxhill.example/lynxhill/internal/wire/lynxapi"
 )
 
-// KeyPrefix is where limits are kept in the store; the organisation follows.
+// KeyPrefix is the prefix of the limits' keys in the store; the organisation
+// follows.
 const KeyPrefix = "limits/"
 
-// Step takes up the limits that profile sync holds on the board. The board
-// keeps deleted objects as tombstones and its versions only rise, so nothing
-// else is to be asked: 370 instances that ask the store each for themselves
-// would spend most of what it can serve on answers that nothing has changed.
+// Step applies changes of the limits that profile sync keeps on the board. The
+// board keeps deleted objects as tombstones and its versions only increase, so no
+// other source is needed: 370 instances that each polled the store would use most
+// of its capacity for answers that nothing has changed.
 func (c *Controller) Step() {
 	objects := c.options.Board.Objects.Snapshot()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for key, object := range objects {
 		organisation, ours := strings.CutPrefix(key, KeyPrefix)
-		if ours && organisation != "" && object.Version > c.taken[organisation] {
-			c.take(organisation, object)
+		if ours && organisation != "" && object.Version > c.applied[organisation] {
+			c.apply(organisation, object)
 		}
 	}
 }
 
-// take puts one object in force. mu is held.
-func (c *Controller) take(organisation string, object board.ConfigObject) {
-	c.taken[organisation] = object.Version
+// apply puts one object in force. An object that is not a valid limit leaves the
+// previous limit in force. mu must be held.
+func (c *Controller) apply(organisation string, object board.ConfigObject) {
+	c.applied[organisation] = object.Version
 	c.version = max(c.version, object.Version)
 	if object.Deleted {
-		c.drop(organisation)
+		c.remove(organisation)
 		return
 	}
 	var limit lynxapi.OrganisationLimit
@@ -48,7 +50,7 @@
 	c.settling = settleTicks
 }
 
-func (c *Controller) drop(organisation string) {
+func (c *Controller) remove(organisation string) {
 	delete(c.objects, organisation)
 	c.options.Board.Limits.Delete(organisation)
 	c.options.Board.Usage.Delete(organisation)
--- a/internal/control/limits/overshoot_test.go
+++ b/internal/control/limits/overshoot_test.go
@@ -18,38 +18,38 @@
 )
 
 const (
-	testOrganisation = "acme"
-	testRate         = 100.0
-	testConcurrent   = 20
-	testHold         = 110 * time.Millisecond // a request in flight; ends between two steps
-	exchanges        = 3                      // with random peers, each second
-	digestBudget     = 1024
-	smallShareLoss   = 0.85
+	testOrganisation   = "acme"
+	testRate           = 100.0
+	testConcurrent     = 20
+	requestDuration    = 110 * time.Millisecond // chosen so that requests end between two steps
+	exchangesPerSecond = 3                      // with random peers, each second
+	digestBudget       = 1024
+	smallShareLoss     = 0.85
 )
 
-// core is one instance: admitter, limits and board.
-type core struct {
-	id       string
-	board    *board.Board
-	admitter *admission.InstanceAdmitter
-	limits   *Controller
-	side     int
-	down     bool
+// instance is one simulated instance: admitter, limits and board.
+type instance struct {
+	id        string
+	board     *board.Board
+	admitter  *admission.InstanceAdmitter
+	limits    *Controller
+	partition int
+	down      bool
 }
 
-// fleet drives cores in virtual time.
+// fleet simulates instances in virtual time.
 type fleet struct {
-	cores    []*core
-	rand     *rand.Rand
-	demand   func(core int) float64 // requests a second
-	admitted int
+	instances []*instance
+	rand      *rand.Rand
+	demand    func(instance int) float64 // requests per second
+	admitted  int
 
 	mu       sync.Mutex // guards all below
 	inFlight int
 	peak     int
 }
 
-// count counts requests in flight.
+// count adds by to the requests in flight and records the peak.
 func (f *fleet) count(by int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -68,24 +68,25 @@
 func newFleet(t *testing.T, n int) *fleet {
 	f := &fleet{rand: rand.New(rand.NewPCG(17, uint64(n)))}
 	for i := range n {
-		c := &core{id: fmt.Sprintf("i%02d", i), board: board.New()}
+		c := &instance{id: fmt.Sprintf("i%02d", i), board: board.New()}
 		c.admitter = admission.NewAdmitter(admission.AdmitterOptions{Board: c.board, Clock: quartz.NewReal()})
 		c.limits = New(Options{Board: c.board, Admitter: c.admitter, Self: c.id, Clock: quartz.NewReal()})
 		putLimit(c.board, testOrganisation, testRate, testConcurrent)
 		c.limits.Step()
-		f.cores = append(f.cores, c)
+		f.instances = append(f.instances, c)
 	}
-	f.show()
+	f.publishMembers()
 	return f
 }
 
-// show writes the members that each core sees; a failure detector needs its
-// time, so that callers let some pass between a cut and show.
-func (f *fleet) show() {
-	for _, c := range f.cores {
-		for _, other := range f.cores {
+// publishMembers writes the members that each instance sees to its board. Failure
+// detection takes time, so callers let some time pass between a partition or crash
+// and this call.
+func (f *fleet) publishMembers() {
+	for _, c := range f.instances {
+		for _, other := range f.instances {
 			state := board.MemberAlive
-			if other.down || other.side != c.side {
+			if other.down || other.partition != c.partition {
 				state = board.MemberDead
 			}
 			c.board.Members.Update(other.id, func(old board.Member, found bool) (board.Member, bool) {
@@ -96,38 +97,38 @@
 	}
 }
 
-// second runs one second: ticks, exchanges, and requests by demand.
+// second simulates one second: ticks, gossip exchanges, and requests by demand.
 func (f *fleet) second() {
-	for _, c := range f.cores {
+	for _, c := range f.instances {
 		if c.down {
 			continue
 		}
 		c.limits.Tick()
-		for range exchanges {
-			f.exchange(c, f.cores[f.rand.IntN(len(f.cores))])
+		for range exchangesPerSecond {
+			f.exchange(c, f.instances[f.rand.IntN(len(f.instances))])
 		}
 	}
 	const steps = 50
 	for range steps {
-		for i, c := range f.cores {
+		for i, c := range f.instances {
 			f.requests(c, f.demand(i)/steps)
 		}
 		time.Sleep(time.Second / steps)
 	}
 }
 
-func (f *fleet) exchange(a, b *core) {
-	if a == b || b.down || a.side != b.side {
+func (f *fleet) exchange(a, b *instance) {
+	if a == b || b.down || a.partition != b.partition {
 		return
 	}
-	for _, way := range [][2]*core{{a, b}, {b, a}} {
+	for _, way := range [][2]*instance{{a, b}, {b, a}} {
 		d := gossip.Digest{From: way[0].id}
 		way[0].limits.Fill(&d, way[1].id, digestBudget)
 		way[1].limits.Absorb(d)
 	}
 }
 
-func (f *fleet) requests(c *core, expected float64) {
+func (f *fleet) requests(c *instance, expected float64) {
 	if c.down {
 		return
 	}
@@ -142,15 +143,15 @@
 		}
 		f.admitted++
 		f.count(1)
-		time.AfterFunc(testHold, func() {
+		time.AfterFunc(requestDuration, func() {
 			f.count(-1)
 			leave()
 		})
 	}
 }
 
-// rate runs n seconds and returns the admitted rate over the limit, and the
-// peak of requests in flight over the limit.
+// rate runs n seconds and returns the admitted rate and the peak of requests in
+// flight, each divided by its limit.
 func (f *fleet) rate(n int) (rate, peak float64) {
 	f.admitted = 0
 	f.takePeak()
@@ -164,7 +165,7 @@
 	return func(int) float64 { return total / float64(n) }
 }
 
-func at(total float64, from, to int) func(int) float64 {
+func concentrated(total float64, from, to int) func(int) float64 {
 	return func(i int) float64 {
 		if i < from || i >= to {
 			return 0
@@ -185,10 +186,10 @@
 
 var overshootCases = []overshootCase{
 	{name: "even", demand: func(n int) func(int) float64 { return evenly(300, n) }, low: 0.7, high: 1.05, highPeak: 1},
-	{name: "three_instances", demand: func(int) func(int) float64 { return at(300, 0, 3) }, low: 0.6, high: 1.05, highPeak: 1.25},
+	{name: "three_instances", demand: func(int) func(int) float64 { return concentrated(300, 0, 3) }, low: 0.6, high: 1.05, highPeak: 1.25},
 	{
-		name: "moves", demand: func(int) func(int) float64 { return at(300, 0, 3) },
-		change: func(f *fleet, _ int) { f.demand = at(300, 1, 4) },
+		name: "moves", demand: func(int) func(int) float64 { return concentrated(300, 0, 3) },
+		change: func(f *fleet, _ int) { f.demand = concentrated(300, 1, 4) },
 		low:    0.6, high: 1.05, highPeak: 1.5,
 	},
 	{
@@ -208,26 +209,28 @@
 	},
 }
 
-// split cuts the first cores off; the members see it ten seconds later.
+// split partitions the first instances from the others; membership reflects it ten
+// seconds later.
 func (f *fleet) split(first int) {
 	for i := range first {
-		f.cores[i].side = 1
+		f.instances[i].partition = 1
 	}
 	f.rate(10)
-	f.show()
+	f.publishMembers()
 }
 
 func (f *fleet) crash(first int) {
 	for i := range first {
-		f.cores[i].down = true
+		f.instances[i].down = true
 	}
 	f.rate(10)
-	f.show()
+	f.publishMembers()
 }
 
-// TestOvershoot holds the bound of the design note: without a call to the
-// platform a request, and with no store after the first list, an organisation
-// stays within its limit, within 1.5 times of it under any partition.
+// TestOvershoot checks the bound of the design note: without a call to the
+// platform per request, and without the store after the first list, an
+// organisation stays within its limit, and within 1.5 times its limit under any
+// network partition.
 func TestOvershoot(t *testing.T) {
 	sizes := []int{8}
 	if os.Getenv("LYNXHILL_TRIALS") != "" {
@@ -258,8 +261,9 @@
 		c.name, n, first, settling, settled, max(peak, later))
 	low := c.low
 	if n > testConcurrent {
-		// One slot an instance refuses while it is in use, whatever the
-		// others have free: a loss that comes with dividing the slots.
+		// An instance with one slot refuses requests while the slot is in use,
+		// whatever other instances have free: a loss that results from dividing
+		// the slots.
 		low *= smallShareLoss
 	}
 	if settled < low || settled > c.high {
--- a/internal/control/limits/peers.go
+++ b/internal/control/limits/peers.go
@@ -8,39 +8,42 @@
 )
 
 const (
-	// maxRows bounds the organisations in one digest.
+	// maxRows is the maximum number of organisations in one digest.
 	maxRows = 64
-	// rowBytes is the size of a row besides the organisation's name.
+	// rowBytes is the size of a row without the organisation's name.
 	rowBytes = 12
-	// marker is the organisation of the row that says that the sender has
-	// told all it had room for. Without it, silence could not be told from no
-	// use.
-	marker = ""
-	// minTold is the demand that is told, as a share of an even share.
-	minTold = 0.05
-	// horizon is how long a peer's use is believed.
-	horizon = 30 * time.Second
-	// leastDemand is what counts as none; sums of floats seldom come to zero.
-	leastDemand = 1e-6
+	// completeMarker is the organisation of the row which states that the digest
+	// contains all the sender's rows that fitted. Without it, a digest without
+	// usage rows could not be distinguished from a sender without usage.
+	completeMarker = ""
+	// minReported is the lowest demand that is reported, as a fraction of an even
+	// share of the limit.
+	minReported = 0.05
+	// peerUseTTL is how long a peer's reported usage stays valid.
+	peerUseTTL = 30 * time.Second
+	// minDemand is the demand below which a sum counts as zero; sums of floats
+	// seldom return to exactly zero.
+	minDemand = 1e-6
 )
 
-// peerUse is what a peer told last. Organisations it left out have no use.
+// peerUse is the usage that a peer reported last. Organisations without a row
+// have no usage there.
 type peerUse struct {
 	at   time.Time
-	rows map[string]float64 // demand in requests a second
+	rows map[string]float64 // demand in requests per second
 }
 
-// Fill implements gossip.Part: the use here of organisations with a limit,
-// those nearest to it first.
+// Fill implements gossip.Part. It adds this instance's usage by organisations with
+// a limit, those nearest to their limit first.
 func (c *Controller) Fill(digest *gossip.Digest, _ string, budget int) int {
 	if budget < rowBytes {
 		return 0
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	digest.Usage = append(digest.Usage, gossip.Usage{Organisation: marker})
+	digest.Usage = append(digest.Usage, gossip.Usage{Organisation: completeMarker})
 	used := rowBytes
-	for _, row := range c.told {
+	for _, row := range c.digestRows {
 		size := len(row.Organisation) + rowBytes
 		if used+size > budget {
 			break
@@ -60,7 +63,7 @@
 	use := &peerUse{at: now}
 	complete := false
 	for _, row := range digest.Usage {
-		if row.Organisation == marker {
+		if row.Organisation == completeMarker {
 			complete = true
 			continue
 		}
@@ -77,8 +80,8 @@
 	c.replace(digest.From, use)
 }
 
-// tellRows picks the rows for the next digests. mu is held.
-func (c *Controller) tellRows(usage map[string]gossip.Usage, crowd crowd) []gossip.Usage {
+// selectRows returns the rows for the next digests. mu must be held.
+func (c *Controller) selectRows(usage map[string]gossip.Usage, members population) []gossip.Usage {
 	type ranked struct {
 		row       gossip.Usage
 		tightness float64
@@ -93,7 +96,7 @@
 		if limit.RatePerSecond > 0 {
 			tightness = row.RatePerSecond / limit.RatePerSecond
 		}
-		if limit.RatePerSecond > 0 && tightness*float64(crowd.visible) < minTold {
+		if limit.RatePerSecond > 0 && tightness*float64(members.visible) < minReported {
 			continue
 		}
 		rows = append(rows, ranked{row, tightness})
@@ -104,43 +107,45 @@
 		}
 		return rows[i].row.Organisation < rows[j].row.Organisation
 	})
-	told := make([]gossip.Usage, 0, min(len(rows), maxRows))
+	selected := make([]gossip.Usage, 0, min(len(rows), maxRows))
 	for _, r := range rows[:min(len(rows), maxRows)] {
-		told = append(told, r.row)
+		selected = append(selected, r.row)
 	}
-	return told
+	return selected
 }
 
-// replace puts a peer's use in place of what it told before. mu is held.
+// replace replaces the usage reported by a peer; nil removes it. mu must be held.
 func (c *Controller) replace(id string, use *peerUse) {
 	if old := c.peers[id]; old != nil {
-		c.addHeard(old, -1)
+		c.addPeerDemand(old, -1)
 	}
 	if use == nil {
 		delete(c.peers, id)
 		return
 	}
 	c.peers[id] = use
-	c.addHeard(use, 1)
+	c.addPeerDemand(use, 1)
 }
 
-// addHeard keeps the sums up to date row by row: adding up all peers' rows each
-// tick would take milliseconds at 370 instances. mu is held.
-func (c *Controller) addHeard(use *peerUse, sign float64) {
+// addPeerDemand adds a peer's rows to the sums of demand, or subtracts them if sign
+// is -1. The sums are maintained incrementally because adding up all peers' rows
+// in each tick would take milliseconds with 370 instances. mu must be held.
+func (c *Controller) addPeerDemand(use *peerUse, sign float64) {
 	for organisation, demand := range use.rows {
-		sum := c.heard[organisation] + sign*demand
-		if sum < leastDemand {
-			delete(c.heard, organisation)
+		sum := c.peerDemand[organisation] + sign*demand
+		if sum < minDemand {
+			delete(c.peerDemand, organisation)
 			continue
 		}
-		c.heard[organisation] = sum
+		c.peerDemand[organisation] = sum
 	}
 }
 
-// forgetSilent drops what was told before the horizon. mu is held.
-func (c *Controller) forgetSilent(now time.Time) {
+// expirePeers drops the usage that peers reported more than peerUseTTL ago. mu must
+// be held.
+func (c *Controller) expirePeers(now time.Time) {
 	for id, use := range c.peers {
-		if now.Sub(use.at) > horizon {
+		if now.Sub(use.at) > peerUseTTL {
 			c.replace(id, nil)
 		}
 	}
--- a/internal/control/limits/share.go
+++ b/internal/control/limits/share.go
@@ -8,99 +8,106 @@
 )
 
 const (
-	// equalShare of a limit is divided evenly, so that an organisation finds
-	// something at every instance; the rest follows demand.
-	equalShare = 0.1
-	// pseudoDemand, as a share of the limit, is added to the demand and spread
-	// evenly: while an organisation asks for little, its shares stay near even.
-	pseudoDemand = 0.1
-	// smallestShare of a slot bounds what one slot draws of the rate.
-	smallestShare = 0.01
-	// roundingSlack makes up for the rounding of products that should be whole.
+	// evenShare is the fraction of a limit that is divided evenly, so that an
+	// organisation has a share at every instance; the rest follows demand.
+	evenShare = 0.1
+	// priorDemand, as a fraction of the limit, is added to the demand and
+	// distributed evenly: while an organisation has little demand, its shares stay
+	// nearly even.
+	priorDemand = 0.1
+	// minSlotShare is the smallest fraction of a concurrency slot that the rate is
+	// divided by; it bounds the share of the rate that goes with one slot.
+	minSlotShare = 0.01
+	// roundingSlack compensates for rounding errors of products that should be
+	// integers.
 	roundingSlack = 1e-9
 )
 
-// crowd is how many instances there are, as this one sees it.
-type crowd struct {
-	known   int // may be serving, seen or not
-	visible int // seen alive, this one included
-	heard   int // whose use is known, this one included
-	rank    int // of this instance among the visible
+// population holds the numbers of instances as seen by this one.
+type population struct {
+	known     int // instances that may be serving, visible or not
+	visible   int // instances seen alive, including this one
+	reporting int // instances whose usage is known, including this one
+	rank      int // position of this instance's ID among the visible ones
 }
 
-// sameMembers reports whether the even shares are the same.
-func (c crowd) sameMembers(other crowd) bool {
-	return c.known == other.known && c.visible == other.visible && c.rank == other.rank
+// sameMembers reports whether both populations result in the same even shares.
+func (p population) sameMembers(other population) bool {
+	return p.known == other.known && p.visible == other.visible && p.rank == other.rank
 }
 
-// fraction is the part of a limit that the visible instances may hand out: all
-// of it if they are more than half of the known ones, else their part by
-// number. So the sides of any partition together hand out less than one and a
-// half times the limit, while a crash of a few costs nothing.
-func (c crowd) fraction() float64 {
-	if 2*c.visible > c.known {
+// fraction returns the fraction of a limit that the visible instances may use
+// together: all of it if they are more than half of the known ones, else the
+// proportion of known instances that they are. So the sides of any network
+// partition together use less than 1.5 times the limit, while a crash of a few
+// instances does not reduce the usable limit.
+func (p population) fraction() float64 {
+	if 2*p.visible > p.known {
 		return 1
 	}
-	return float64(c.visible) / float64(c.known)
+	return float64(p.visible) / float64(p.known)
 }
 
-// total estimates the demand over the visible instances: own demand, and what
-// was heard scaled up to those that were not.
-func (c crowd) total(own, heard float64) float64 {
-	if c.heard <= 1 {
-		return own * float64(c.visible)
+// total estimates the demand at all visible instances: the demand of this one,
+// and the demand reported by peers, scaled up to the instances without a report.
+func (p population) total(own, peerDemand float64) float64 {
+	if p.reporting <= 1 {
+		return own * float64(p.visible)
 	}
-	return own + heard*float64(c.visible-1)/float64(c.heard-1)
+	return own + peerDemand*float64(p.visible-1)/float64(p.reporting-1)
 }
 
-// part is this instance's share of a limit, 0 to 1. When all instances see the
-// same demand, their parts add up to fraction.
-func (c crowd) part(limit, own, total float64) float64 {
-	even := 1 / float64(max(c.visible, 1))
-	pseudo := pseudoDemand * limit
+// part returns this instance's share of a limit, from 0 to 1. When all instances
+// see the same demand, their parts add up to fraction.
+func (p population) part(limit, own, total float64) float64 {
+	even := 1 / float64(max(p.visible, 1))
+	prior := priorDemand * limit
 	byDemand := even
-	if total+pseudo > 0 {
-		byDemand = (own + pseudo*even) / (total + pseudo)
+	if total+prior > 0 {
+		byDemand = (own + prior*even) / (total + prior)
 	}
-	return c.fraction() * (equalShare*even + (1-equalShare)*min(byDemand, 1))
+	return p.fraction() * (evenShare*even + (1-evenShare)*min(byDemand, 1))
 }
 
-// shareOf is what an organisation may use here. own and heard are its demand
-// in requests a second, here and at the instances heard of.
-func (c crowd) shareOf(l lynxapi.OrganisationLimit, own, heard float64, spread uint64) board.Limit {
-	total := c.total(own, heard)
+// shareOf returns this instance's share of an organisation's limit. own and
+// peerDemand are the organisation's demand in requests per second, at this
+// instance and at the peers that reported it. offset, a hash of the organisation,
+// varies which instances have the slots.
+func (p population) shareOf(l lynxapi.OrganisationLimit, own, peerDemand float64, offset uint64) board.Limit {
+	total := p.total(own, peerDemand)
 	var out board.Limit
 	if l.RatePerSecond > 0 {
-		out.RatePerSecond = l.RatePerSecond * c.part(l.RatePerSecond, own, total)
+		out.RatePerSecond = l.RatePerSecond * p.part(l.RatePerSecond, own, total)
 	}
 	if l.Concurrent > 0 {
 		weight := l.RatePerSecond
 		if weight <= 0 {
 			weight = total
 		}
-		share := float64(l.Concurrent) * c.part(weight, own, total)
-		out.Concurrent = c.whole(share, spread)
-		// With more instances than slots some have none, and their part of
-		// the rate goes to those that have one: the organisation would get
-		// only a part of its rate otherwise.
-		out.RatePerSecond /= min(max(share, smallestShare), 1)
+		share := float64(l.Concurrent) * p.part(weight, own, total)
+		out.Concurrent = p.wholeShare(share, offset)
+		// With more instances than slots some instances have no slot. Their
+		// part of the rate goes to the instances that have one; otherwise the
+		// organisation would have only a part of its rate.
+		out.RatePerSecond /= min(max(share, minSlotShare), 1)
 	}
 	out.RatePerSecond = min(out.RatePerSecond, l.RatePerSecond)
 	return out
 }
 
-// whole turns a fractional share of a concurrency limit into a whole number so
-// that even shares add up to the limit: the instances stand in a circle, and
-// each gets the whole numbers that fall between its step and the next one's.
-// Rounding each for itself would give fifty instances fifty slots of a limit
-// of five, or none. Nothing is -1: 0 means no limit.
-func (c crowd) whole(share float64, spread uint64) int {
-	place := uint64(c.rank)
-	if c.visible > 0 {
-		place = (place + spread%uint64(c.visible)) % uint64(c.visible)
+// wholeShare converts a fractional share of a concurrency limit to an integer, so
+// that even shares add up to the limit. The instances are ordered by rank, rotated
+// by offset, and each gets the integers between its position times share and the
+// next position times share. Rounding each share independently would give fifty
+// instances fifty slots of a limit of five, or none. It returns -1 for no slots,
+// since 0 means no limit.
+func (p population) wholeShare(share float64, offset uint64) int {
+	position := uint64(p.rank)
+	if p.visible > 0 {
+		position = (position + offset%uint64(p.visible)) % uint64(p.visible)
 	}
-	from := math.Floor(float64(place)*share + roundingSlack)
-	to := math.Floor(float64(place+1)*share + roundingSlack)
+	from := math.Floor(float64(position)*share + roundingSlack)
+	to := math.Floor(float64(position+1)*share + roundingSlack)
 	if to <= from {
 		return -1
 	}
