--- a/internal/control/discovery/discovery.go
+++ b/internal/control/discovery/discovery.go
@@ -22,22 +22,22 @@
 const (
 	jitter      = 0.25
 	callTimeout = 5 * time.Second
-	watchPeriod = 500 * time.Millisecond // how often load reports are looked at
-	// unknownSpread spreads the reads that a new target causes on instances
-	// that are no listers.
+	watchPeriod = 500 * time.Millisecond // how often load reports are checked
+	// unknownSpread is the range of the random delay before the reads that a new
+	// target causes on instances that are not listers.
 	unknownSpread = 4 * time.Second
 	// unknownEvery is the shortest time between two such reads.
 	unknownEvery = 15 * time.Second
 	rankKey      = "discovery/"
 )
 
-// Controller keeps board.Targets. It is also a gossip.Part that passes leaving
-// marks on.
+// Controller maintains board.Targets. It is also a gossip.Part, which
+// disseminates leaving marks.
 type Controller struct {
 	opts    Options
 	rand    *loop.Rand
-	unknown board.Signal // a peer names a target that is not on the board
-	marks   marks
+	unknown board.Signal // a peer has named a target that is not on the board
+	cursor  markCursor
 }
 
 // New returns a controller.
@@ -45,7 +45,7 @@
 	return &Controller{opts: opts.withDefaults(), rand: loop.NewRand(opts.Rand)}
 }
 
-// Run keeps the targets until ctx ends.
+// Run maintains the targets until ctx ends.
 func (c *Controller) Run(ctx context.Context) {
 	var watching sync.WaitGroup
 	watching.Go(func() {
@@ -53,7 +53,7 @@
 			Clock: c.opts.Clock, Rand: c.rand, Period: watchPeriod, Jitter: jitter,
 		}, func(context.Context) { c.watchLoads() })
 	})
-	watching.Go(func() { c.hurryMarks(ctx) })
+	watching.Go(func() { c.spreadNewMarks(ctx) })
 	defer watching.Wait()
 	for ctx.Err() == nil {
 		unknown := c.unknown.Wait()
@@ -62,16 +62,17 @@
 	}
 }
 
-// lister reports whether this instance is one of the listers of its place.
-func (c *Controller) lister() bool {
+// isLister reports whether this instance is one of the listers of its zone, that
+// is, the instances that read the list at the fast rate.
+func (c *Controller) isLister() bool {
 	live := c.opts.Board.LiveMembersIn(c.opts.Place, c.opts.Self)
 	return rendezvous.Position(rankKey+c.opts.Place, c.opts.Self, live) < c.opts.Listers
 }
 
-// pause waits until the next read is due. All instances reading at the rate of
-// a lister would cost the platform 185 reads a second at 370 instances.
+// pause waits until the next read is due. If all instances read at the rate of a
+// lister, the platform would get 185 reads a second from 370 instances.
 func (c *Controller) pause(ctx context.Context, unknown <-chan struct{}) {
-	if c.lister() || c.opts.Board.Targets.Len() == 0 {
+	if c.isLister() || c.opts.Board.Targets.Len() == 0 {
 		loop.Sleep(ctx, c.opts.Clock, c.rand.Spread(c.opts.ListEvery, jitter))
 		return
 	}
@@ -88,7 +89,8 @@
 	}
 }
 
-// list reads the list once and merges it. Without an answer the board stays.
+// list reads the list once and merges it. If the read fails, the board stays as it
+// is.
 func (c *Controller) list(ctx context.Context) {
 	began := c.opts.Clock.Now()
 	callCtx, cancel := loop.WithTimeout(ctx, c.opts.Clock, callTimeout)
@@ -98,7 +100,7 @@
 		c.opts.Metrics.Labelled(metricLists).Add("failed", 1)
 		if ctx.Err() == nil {
 			c.opts.Logger.Log(event.TargetListFailed, "error", err)
-			c.askPeers(ctx)
+			c.queryPeers(ctx)
 		}
 		return
 	}
@@ -106,7 +108,7 @@
 	c.Merge(instances, began)
 }
 
-// Merge takes over a list that was asked for at the given moment.
+// Merge merges a list that was requested at the given time into the board.
 func (c *Controller) Merge(instances []store.Instance, asked time.Time) {
 	listed := make(map[string]bool)
 	for _, instance := range instances {
@@ -116,14 +118,14 @@
 		listed[instance.ID] = true
 		c.mergeOne(instance, asked)
 	}
-	c.missing(listed, asked)
+	c.mergeMissing(listed, asked)
 	c.count()
 }
 
-// KindInstance is the kind of lynxhill's own instances in the list.
+// KindInstance is the kind of lynxhill's own instances in the platform's list.
 const KindInstance = "lynxhill"
 
-// count publishes the numbers of targets.
+// count publishes the numbers of targets as metrics.
 func (c *Controller) count() {
 	targets := c.opts.Board.Targets.Snapshot()
 	leaving := 0
--- a/internal/control/discovery/discovery_test.go
+++ b/internal/control/discovery/discovery_test.go
@@ -42,7 +42,7 @@
 }
 
 // withTargets runs a test in virtual time in which the controller of instance
-// i-0 has read a list with the live targets.
+// i-0 has read a list with the given live targets.
 func withTargets(t *testing.T, ids []string, body func(t *testing.T, s *memstore.Store, b *board.Board, c *Controller)) {
 	synctest.Test(t, func(t *testing.T) {
 		s := memstore.New(memstore.Options{})
@@ -62,7 +62,8 @@
 	return t.Leaving
 }
 
-// report keeps the target answering with the given word until stop.
+// report puts a load report of the target on the board every second, with the
+// leaving flag that says returns, until stop is called.
 func report(b *board.Board, id string, says func() bool) (stop func()) {
 	done := make(chan struct{})
 	go func() {
@@ -79,10 +80,9 @@
 	return func() { close(done) }
 }
 
-// Symptom: work goes to a target that has said it is leaving.
-// Events: a target refuses work because it is leaving; the list, which lags,
-// still shows it live and is read after the refusal.
-// Cause: the old live entry was taken for a later sign.
+// Guards against sending work to a target that has said it is leaving. The target
+// rejects work because it is leaving; the list lags, still shows it as live, and
+// is read after the rejection. The old live entry must not count as newer.
 func TestLaggingListDoesNotBringBackALeavingTarget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := memstore.New(memstore.Options{InstanceLag: lag})
@@ -138,9 +138,8 @@
 	}
 }
 
-// Symptom: all work stops although every target is well.
-// Events: the platform comes back from an outage with an empty list.
-// Cause: the empty list was believed.
+// Guards against all work stopping although every target is healthy, when the
+// platform comes back from an outage with an empty list.
 func TestEmptyListKeepsTargetsThatAnswer(t *testing.T) {
 	withTargets(t, []string{"t-1", "t-2"}, func(t *testing.T, s *memstore.Store, b *board.Board, _ *Controller) {
 		defer report(b, "t-1", func() bool { return false })()
@@ -156,9 +155,9 @@
 	})
 }
 
-// Symptom: a leaving target gets work again for moments, again and again.
-// Events: the target itself says that it is leaving; the platform does not know
-// and goes on listing it live. Cause: the list alone cleared the mark.
+// Guards against sending work again and again to a leaving target. The target
+// reports that it is leaving, while the platform does not know and goes on listing
+// it as live. The list alone must not clear the mark.
 func TestListAloneDoesNotClear(t *testing.T) {
 	withTargets(t, []string{"t-1"}, func(t *testing.T, _ *memstore.Store, b *board.Board, _ *Controller) {
 		defer report(b, "t-1", func() bool { return true })()
@@ -172,10 +171,9 @@
 	})
 }
 
-// Symptom: a target that came back is left out of choice again.
-// Events: the mark is cleared; a digest that was under way for long, or a peer
-// that did not see the target come back yet, passes the old mark on.
-// Cause: the old mark was taken for a new sign.
+// Guards against a target that is live again being excluded once more. The mark is
+// cleared; a delayed digest, or a peer that has not yet seen the target come back,
+// then delivers the old mark, which must not count as a new sign.
 func TestOldMarkOfPeerIsIgnoredAfterReturn(t *testing.T) {
 	withTargets(t, []string{"t-1"}, func(t *testing.T, _ *memstore.Store, b *board.Board, c *Controller) {
 		defer report(b, "t-1", func() bool { return false })()
@@ -196,7 +194,7 @@
 	})
 }
 
-// peerPull is a peer that is asked directly.
+// peerPull is a Puller that answers from another controller.
 type peerPull struct{ from *Controller }
 
 func (p peerPull) Pull(_ context.Context, _, prefix string, after uint64) ([]store.Object, uint64, bool, error) {
@@ -207,9 +205,8 @@
 	return objects, mark, more, nil
 }
 
-// Symptom: an instance refuses every request for want of targets.
-// Events: it starts while the platform is down; its neighbours know 2000 targets.
-// Cause: only the platform's list was asked.
+// Guards against an instance refusing every request for lack of targets. It starts
+// while the platform is unavailable, and its peers know 2000 targets.
 func TestTargetsComeFromPeersWhilePlatformIsDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := memstore.New(memstore.Options{})
--- a/internal/control/discovery/fleet_test.go
+++ b/internal/control/discovery/fleet_test.go
@@ -20,13 +20,15 @@
 	"lynxhill.example/lynxhill/internal/wire/targetapi"
 )
 
-// fleetSizes runs the trial at the size of letter 1: go test -run Fleet -trial -v.
-var fleetSizes = flag.Bool("trial", false, "measure discovery at size")
+// fullSize runs the measurement with 370 instances and 600 targets:
+// go test -run Fleet -trial -v.
+var fullSize = flag.Bool("trial", false, "measure discovery at full size")
 
-// grace is how long after the first sign a target may get new work.
+// grace is how long after the first sign a leaving target may still get new work.
 const grace = 3 * time.Second
 
-// eagerFanout is how many others an instance that is hurried exchanges with.
+// eagerFanout is the number of instances that an instance exchanges digests with
+// at once when exchanges are requested.
 const eagerFanout = 3
 
 type fleet struct {
@@ -71,7 +73,8 @@
 	return c
 }
 
-// spread is what membership does when it is hurried: exchanges with a few.
+// spread does what membership does when exchanges are requested: it exchanges
+// digests with a few instances at once.
 func (f *fleet) spread(i int) {
 	if !f.eager.Load() {
 		return
@@ -99,8 +102,8 @@
 	f.running.Wait()
 }
 
-// heartbeat passes digests on between random pairs for a second. The loads of
-// all targets ride along, as the load view's rows do.
+// heartbeat exchanges digests between random pairs and waits a second. The digests
+// also carry the loads of all targets, as the rows of the load view do.
 func (f *fleet) heartbeat(polled string) {
 	f.mu.Lock()
 	for i := range f.nodes {
@@ -110,8 +113,9 @@
 	time.Sleep(time.Second)
 }
 
-// seconds beats until all nodes satisfy the condition.
-func (f *fleet) seconds(polled string, holds func(*Controller) bool) int {
+// roundsUntil runs heartbeats of a second until the condition holds on all nodes,
+// and returns their number, or -1 after 300.
+func (f *fleet) roundsUntil(polled string, holds func(*Controller) bool) int {
 	for second := range 300 {
 		all := true
 		for _, n := range f.nodes {
@@ -127,13 +131,12 @@
 
 func (f *fleet) reads() uint64 { return f.store.Counts().Reads }
 
-// Symptom: work still goes to a target seconds after it said it is leaving.
-// Events: one instance of many sees the first sign; the list lags by 10 s, and
-// most instances read it once a minute.
-// Cause: the sign stayed with the instance that saw it.
+// Guards against sending work to a target seconds after it said that it is leaving.
+// One instance of many sees the first sign; the list lags by 10 s, and most
+// instances read it once a minute. The sign must reach all instances.
 func TestFleetMarksWithinTheGrace(t *testing.T) {
 	instances, targets := 50, 40
-	if *fleetSizes {
+	if *fullSize {
 		instances, targets = 370, 600
 	}
 	synctest.Test(t, func(t *testing.T) {
@@ -147,8 +150,8 @@
 			f.eager.Store(eager)
 			id := f.targets[i]
 			f.nodes[1].Refused(id)
-			took := f.seconds("", func(n *Controller) bool { return leaving(n.opts.Board, id) })
-			t.Logf("hurried %v: a refusal seen by one was known to all after %d heartbeats of a second", eager, took)
+			took := f.roundsUntil("", func(n *Controller) bool { return leaving(n.opts.Board, id) })
+			t.Logf("with requested exchanges %v: a rejection seen by one instance was known to all after %d heartbeats of a second", eager, took)
 			if took < 0 || eager && time.Duration(took)*time.Second > grace {
 				t.Errorf("the mark took %d s to reach all", took)
 			}
@@ -156,7 +159,7 @@
 		f.store.SetInstance(engine("new", platformapi.StateLive))
 		time.Sleep(10 * time.Second)
 		before, began := f.reads(), time.Now()
-		took := f.seconds("new", func(n *Controller) bool { _, there := n.opts.Board.Targets.Get("new"); return there })
+		took := f.roundsUntil("new", func(n *Controller) bool { _, there := n.opts.Board.Targets.Get("new"); return there })
 		t.Logf("a target new in the list was known to all after %d s, by %.1f reads/s", took, float64(f.reads()-before)/time.Since(began).Seconds())
 		if took < 0 || took > 40 {
 			t.Errorf("a new target took %d s to be known to all", took)
@@ -164,10 +167,10 @@
 	})
 }
 
-// Symptom: a target flaps between leaving and live.
-// Events: the signs of eight instances cross: reports, which lag, say live; the
-// list lags; digests are late; the platform goes away. Then the target comes
-// back. Cause: signs were taken in the order of their arrival.
+// Guards against a target flapping between leaving and live. The signs of eight
+// instances cross: load reports, which lag, say live; the list lags; digests are
+// delayed; the platform becomes unavailable. Then the target comes back. Signs must
+// not be applied in the order of their arrival.
 func TestRandomSignsNeverClearEarly(t *testing.T) {
 	for seed := range uint64(10) {
 		synctest.Test(t, func(t *testing.T) {
@@ -178,7 +181,7 @@
 			id := f.targets[0]
 			stopped := make(chan struct{})
 			reportsLag := time.Duration(rng.Int64N(int64(20 * time.Second)))
-			var leavingFrom atomic.Int64 // Unix seconds; 0: not yet
+			var leavingFrom atomic.Int64 // Unix seconds; 0: not leaving yet
 			go f.reportAll(id, stopped, func(at time.Time) bool {
 				from := leavingFrom.Load()
 				return from != 0 && at.Unix() > from
@@ -201,7 +204,7 @@
 			f.store.SetFaults(memstore.Faults{})
 			f.store.SetInstance(engine(id, platformapi.StateLive))
 			leavingFrom.Store(time.Now().Add(time.Hour).Unix())
-			if took := f.seconds("", func(n *Controller) bool { return !leaving(n.opts.Board, id) }); took < 0 {
+			if took := f.roundsUntil("", func(n *Controller) bool { return !leaving(n.opts.Board, id) }); took < 0 {
 				t.Errorf("seed %d: the target is live again and still marked after 300 s", seed)
 			}
 			close(stopped)
@@ -209,7 +212,7 @@
 	}
 }
 
-// reportAll keeps a lagging report of the target on every board.
+// reportAll puts a lagging load report of the target on every board each second.
 func (f *fleet) reportAll(id string, stop chan struct{}, leavingAt func(time.Time) bool, lag time.Duration) {
 	for seq := uint64(1); ; seq++ {
 		at := time.Now().Add(-lag)
--- a/internal/control/discovery/gossip.go
+++ b/internal/control/discovery/gossip.go
@@ -11,28 +11,29 @@
 	"lynxhill.example/lynxhill/internal/gossip"
 )
 
-// passOnFor is how long a leaving mark is passed on. Whoever missed it by then
-// sees it in the list.
-const passOnFor = 2 * time.Minute
+// markGossipTime is how long a leaving mark is disseminated. Instances that have
+// not received it by then see the state in the list.
+const markGossipTime = 2 * time.Minute
 
-// markBytes is an estimate of a mark's size in a digest, without the id.
+// markBytes is the estimated size of a mark in a digest without the id, in bytes.
 const markBytes = 8
 
-// marks remembers where the next digest goes on, so that a small budget
-// reaches all marks in turn.
-type marks struct {
+// markCursor is the position from which the next digest continues, so that a
+// small budget covers all marks in turn.
+type markCursor struct {
 	mu   sync.Mutex // guards next
 	next int
 }
 
-// hotFor is how long a mark goes into every digest; then they go in turn.
-const hotFor = 10 * time.Second
+// newMarkTime is how long a mark is included in every digest. Older marks are
+// included in turn.
+const newMarkTime = 10 * time.Second
 
-// Fill implements gossip.Part. A row of Loads with Seq 0 carries a leaving mark
-// alone; Age is the time since the sign.
+// Fill implements gossip.Part. A row of Loads with Seq 0 carries only a leaving
+// mark; its Age is the time since the sign.
 func (c *Controller) Fill(digest *gossip.Digest, _ string, budget int) int {
 	now := c.opts.Clock.Now()
-	hot, others := c.freshMarks(now)
+	hot, others := c.marksToSend(now)
 	used := 0
 	add := func(t board.Target) bool {
 		size := markBytes + len(t.ID)
@@ -49,7 +50,7 @@
 		}
 	}
 	for range others {
-		if !add(others[c.marks.take(len(others))]) {
+		if !add(others[c.cursor.take(len(others))]) {
 			break
 		}
 	}
@@ -57,20 +58,20 @@
 }
 
 // take returns the next index below n.
-func (m *marks) take(n int) int {
+func (m *markCursor) take(n int) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.next = (m.next + 1) % n
 	return m.next
 }
 
-// freshMarks returns the marks that are passed on: those of the last seconds,
-// newest first, and the others.
-func (c *Controller) freshMarks(now time.Time) (hot, others []board.Target) {
+// marksToSend returns the marks to disseminate: those younger than newMarkTime,
+// newest first, and the others by id.
+func (c *Controller) marksToSend(now time.Time) (hot, others []board.Target) {
 	for _, t := range c.opts.Board.Targets.Snapshot() {
 		switch age := now.Sub(t.Sign()); {
-		case !t.Leaving || age >= passOnFor:
-		case age < hotFor:
+		case !t.Leaving || age >= markGossipTime:
+		case age < newMarkTime:
 			hot = append(hot, t)
 		default:
 			others = append(others, t)
@@ -81,28 +82,28 @@
 	return hot, others
 }
 
-// hurryMarks makes membership pass new marks on at once, whoever set them.
-// Every instance does so once a mark, so that a mark reaches all in a few round
-// trips instead of a few heartbeats.
-func (c *Controller) hurryMarks(ctx context.Context) {
+// spreadNewMarks makes membership exchange digests at once when a new mark is set
+// on the board, by whichever source. Every instance does so once for a mark, so
+// that it reaches all within a few round trips instead of a few heartbeats.
+func (c *Controller) spreadNewMarks(ctx context.Context) {
 	known := make(map[string]bool)
 	loop.Run(ctx, loop.Options{
-		Clock: c.opts.Clock, Rand: c.rand, Period: passOnFor, Changed: c.opts.Board.Targets.Changed, Settle: hurrySettle,
+		Clock: c.opts.Clock, Rand: c.rand, Period: markGossipTime, Changed: c.opts.Board.Targets.Changed, Settle: spreadInterval,
 	}, func(context.Context) {
-		news := false
+		newMark := false
 		for id, t := range c.opts.Board.Targets.Snapshot() {
-			news = news || t.Leaving && !known[id]
+			newMark = newMark || t.Leaving && !known[id]
 			known[id] = t.Leaving
 		}
-		if news && c.opts.Hurry != nil {
+		if newMark && c.opts.Hurry != nil {
 			c.opts.Hurry()
 		}
 	})
 }
 
-// hurrySettle is the least time between two looks at the marks, so that many at
-// once go out together.
-const hurrySettle = 50 * time.Millisecond
+// spreadInterval is the shortest time between two checks for new marks, so that
+// marks set at about the same time are sent together.
+const spreadInterval = 50 * time.Millisecond
 
 // Absorb implements gossip.Part.
 func (c *Controller) Absorb(digest gossip.Digest) {
--- a/internal/control/discovery/merge.go
+++ b/internal/control/discovery/merge.go
@@ -10,7 +10,7 @@
 	"lynxhill.example/lynxhill/internal/wire/platformapi"
 )
 
-// targetOf is the list's entry as a target without marks.
+// targetOf converts an entry of the list to a target without marks.
 func targetOf(i store.Instance) board.Target {
 	return board.Target{
 		ID: i.ID, Service: i.Service, Kind: profile.Kind(i.Kind), Provider: i.Provider,
@@ -18,7 +18,7 @@
 	}
 }
 
-// mergeOne takes over one entry of the list.
+// mergeOne merges one entry of the list.
 func (c *Controller) mergeOne(instance store.Instance, asked time.Time) {
 	load, hasLoad := c.opts.Board.Loads.Get(instance.ID)
 	var happened event.ID
@@ -44,11 +44,11 @@
 	}
 }
 
-// liveAgain decides whether a live entry of the list is a later sign than the
-// leaving mark. The list lags, so that it shows a target live for a while
-// after its own word that it leaves; and reports lag, so that a target may
-// report itself live for a while after the list shows it leaving. Both have to
-// be later than the mark by more than they lag.
+// liveAgain decides whether a live entry of the list is newer than the leaving
+// mark. The list lags, so it may show a target as live after the target reported
+// that it is leaving. Load reports lag too, so a target may report itself as live
+// after the list shows it leaving. Both must therefore be newer than the mark by
+// more than ListLag.
 func (c *Controller) liveAgain(t board.Target, asked time.Time, load board.Load, hasLoad bool) bool {
 	after := t.Sign().Add(c.opts.ListLag)
 	if !asked.After(after) {
@@ -57,8 +57,8 @@
 	return hasLoad && !load.Report.Leaving && load.At.After(after)
 }
 
-// missing decides about targets that the list lacks.
-func (c *Controller) missing(listed map[string]bool, asked time.Time) {
+// mergeMissing decides on the targets that the list lacks.
+func (c *Controller) mergeMissing(listed map[string]bool, asked time.Time) {
 	known := c.opts.Board.Targets.Snapshot()
 	lacking := 0
 	for id := range known {
@@ -66,21 +66,22 @@
 			lacking++
 		}
 	}
-	// A platform that lost its list, or is filling it anew after a restart,
-	// names few or no targets. Believing it would stop all work although
-	// every target is well, so that those that answer stay without limit.
+	// A platform that lost its list, or is rebuilding it after a restart,
+	// names few or no targets. Removing the missing targets would stop all
+	// work although they are healthy. If the list lacks more than half of the
+	// known targets, those that answer are therefore kept without time limit.
 	shrunk := lacking*2 > len(known)
 	if shrunk {
 		c.opts.Logger.Log(event.TargetListShrunk, "known", len(known), "lacking", lacking)
 	}
 	for id, t := range known {
 		if !listed[id] {
-			c.missingOne(t, asked, shrunk)
+			c.checkMissing(t, asked, shrunk)
 		}
 	}
 }
 
-func (c *Controller) missingOne(t board.Target, asked time.Time, shrunk bool) {
+func (c *Controller) checkMissing(t board.Target, asked time.Time, shrunk bool) {
 	if t.MissingSince.IsZero() {
 		c.opts.Board.Targets.Update(t.ID, func(old board.Target, found bool) (board.Target, bool) {
 			old.MissingSince = asked
@@ -97,7 +98,7 @@
 	}
 }
 
-// answers reports whether the target was heard of lately.
+// answers reports whether the target has sent a load report within AnswerWithin.
 func (c *Controller) answers(id string) bool {
 	load, ok := c.opts.Board.Loads.Get(id)
 	return ok && c.opts.Clock.Now().Sub(load.At) <= c.opts.AnswerWithin
@@ -112,7 +113,7 @@
 	c.opts.Logger.Log(event.TargetGone, "target", id)
 }
 
-// watchLoads marks targets whose own reports say that they are leaving.
+// watchLoads marks targets whose load reports say that they are leaving.
 func (c *Controller) watchLoads() {
 	for id, load := range c.opts.Board.Loads.Snapshot() {
 		if load.Report.Leaving {
@@ -121,12 +122,12 @@
 	}
 }
 
-// Refused marks a target that refused work because it is leaving.
+// Refused marks a target that rejected work because it is leaving.
 func (c *Controller) Refused(id string) {
 	c.mark(id, c.opts.Clock.Now(), "refusal")
 }
 
-// mark sets the leaving mark of a sign seen at the given time.
+// mark sets the leaving mark for a sign seen at the given time.
 func (c *Controller) mark(id string, at time.Time, sign string) {
 	changed := c.opts.Board.Targets.Update(id, func(old board.Target, found bool) (board.Target, bool) {
 		if !found {
--- a/internal/control/discovery/options.go
+++ b/internal/control/discovery/options.go
@@ -1,7 +1,8 @@
-// Package discovery keeps the board's targets by the platform's instance list,
-// which lags and is not always there. A target takes no new work from the
-// first sign that it is leaving, whatever the sign; only a later live sign
-// brings it back. A target that vanishes from the list stays while it answers.
+// Package discovery maintains the board's targets from the platform's instance
+// list, which lags and may be unavailable. A target gets no new work from the
+// first sign that it is leaving, whatever the source; only newer live signs make
+// it available again. A target that is missing from the list is kept while it
+// answers.
 package discovery
 
 import (
@@ -39,28 +40,28 @@
 	Metrics *metrics.Registry
 	Self    string
 	Place   string
-	// Peers, if set, are asked for their targets while the list cannot be read
+	// Peers, if set, are queried for their targets while the list cannot be read
 	// and no target is known.
 	Peers Puller
-	// Hurry, if set, makes membership exchange digests at once; it must not
-	// block. It is called when a leaving mark is new here.
+	// Hurry, if set, makes membership exchange digests at once. It must not block.
+	// It is called when a leaving mark is new on this instance.
 	Hurry func()
-	// ListEvery is how often the listers of a place read the list; the others
-	// read it every SlowListEvery, and sooner when a peer's digest names a
-	// target that they do not know.
+	// ListEvery is how often the listers of an availability zone read the list.
+	// The other instances read it every SlowListEvery, and sooner when a peer's
+	// digest names a target that they do not know.
 	ListEvery     time.Duration
 	SlowListEvery time.Duration
-	// Listers is the number of listers in each place.
+	// Listers is the number of listers in each zone.
 	Listers int
-	// ListLag is the most by which the list lags. A live entry read sooner
-	// than this after a leaving mark proves nothing.
+	// ListLag is the longest time by which the list may lag. A live entry that was
+	// read less than this after a leaving mark does not clear the mark.
 	ListLag time.Duration
-	// MissingGrace is how long a target may lack from the list before it is
-	// forgotten if it does not answer, KeepMissing if it does.
+	// MissingGrace is how long a target may be missing from the list before it is
+	// removed if it does not answer, KeepMissing if it does.
 	MissingGrace time.Duration
 	KeepMissing  time.Duration
-	// AnswerWithin is the greatest age of a load report of a target that
-	// counts as answering.
+	// AnswerWithin is the greatest age of its latest load report at which a
+	// target counts as answering.
 	AnswerWithin time.Duration
 }
 
--- a/internal/control/discovery/peers.go
+++ b/internal/control/discovery/peers.go
@@ -12,22 +12,24 @@
 	"lynxhill.example/lynxhill/internal/wire/platformapi"
 )
 
-// PullPrefix stands for the targets in a pull from a peer. They are no objects
-// of the platform: their versions are positions in the list by id.
+// PullPrefix stands for the targets in a pull from a peer. They are not objects
+// of the platform: their versions are positions in the list sorted by id.
 const PullPrefix = "targets/"
 
-// pullBytes bounds one answer to a peer.
+// pullBytes bounds the values in one answer to a peer; the first one is sent even
+// if it is larger.
 const pullBytes = 128 << 10
 
-// peersAsked is how many peers are asked for their targets in one go.
-const peersAsked = 3
+// maxPeersQueried is how many peers are queried in one round.
+const maxPeersQueried = 3
 
-// Puller asks another instance for its targets; internal/peer implements it.
+// Puller pulls the targets of another instance; internal/peer implements it.
 type Puller interface {
 	Pull(ctx context.Context, instance, prefix string, after uint64) (objects []store.Object, mark uint64, more bool, err error)
 }
 
-// Since answers a peer that asks for the targets after a position.
+// Since answers a peer's pull: the targets after a position in the list sorted by
+// id.
 func (c *Controller) Since(after uint64) (objects []store.Object, mark uint64, more bool) {
 	targets := c.opts.Board.Targets.Snapshot()
 	ids := make([]string, 0, len(targets))
@@ -49,7 +51,7 @@
 	return objects, uint64(len(ids)), false
 }
 
-// instanceOf is a target as the platform would list it.
+// instanceOf converts a target to an entry as the platform would list it.
 func instanceOf(t board.Target) store.Instance {
 	state := platformapi.StateLive
 	if t.Leaving {
@@ -61,13 +63,13 @@
 	}
 }
 
-// askPeers learns targets from other instances.
+// queryPeers adds the targets that other instances know.
 //
-// An instance that starts while the platform is down has no targets and would
-// refuse every request, although its neighbours know them all. What peers tell
-// only adds targets: it says nothing of those that it lacks, nor that a target
-// is live again.
-func (c *Controller) askPeers(ctx context.Context) {
+// An instance that starts while the platform is unavailable has no targets and
+// would refuse every request, although its peers know them all. The answers of
+// peers only add targets: a target missing from them is kept, and they do not
+// clear a leaving mark.
+func (c *Controller) queryPeers(ctx context.Context) {
 	if c.opts.Peers == nil || c.opts.Board.Targets.Len() > 0 {
 		return
 	}
@@ -76,18 +78,19 @@
 	asked := 0
 	for i := range live {
 		id := live[(first+i)%len(live)]
-		if id == c.opts.Self || asked == peersAsked {
+		if id == c.opts.Self || asked == maxPeersQueried {
 			continue
 		}
 		asked++
-		if c.askPeer(ctx, id) {
+		if c.queryPeer(ctx, id) {
 			return
 		}
 	}
 }
 
-// askPeer returns whether the peer told of any target.
-func (c *Controller) askPeer(ctx context.Context, id string) bool {
+// queryPeer pulls the targets of one peer and reports whether any target is known
+// after it.
+func (c *Controller) queryPeer(ctx context.Context, id string) bool {
 	callCtx, cancel := loop.WithTimeout(ctx, c.opts.Clock, callTimeout)
 	defer cancel()
 	now := c.opts.Clock.Now()
@@ -96,7 +99,7 @@
 		if err != nil {
 			return false
 		}
-		c.learn(objects, now)
+		c.addTargets(objects, now)
 		if !more || mark <= after {
 			return c.opts.Board.Targets.Len() > 0
 		}
@@ -104,7 +107,7 @@
 	}
 }
 
-func (c *Controller) learn(objects []store.Object, now time.Time) {
+func (c *Controller) addTargets(objects []store.Object, now time.Time) {
 	for _, object := range objects {
 		var instance store.Instance
 		if json.Unmarshal(object.Value, &instance) != nil || instance.ID == "" || instance.Kind == KindInstance {
