--- a/internal/profile/diff.go
+++ b/internal/profile/diff.go
@@ -13,18 +13,18 @@
 	New  string `json:"new"`  // "" for something removed
 }
 
-// field is one value of a profile with its path. Fields of a profile stand in
-// the order of its TOML form.
+// field is one value of a profile with its path. The fields of a profile are in the
+// order of its TOML form.
 type field struct {
 	path  string
 	value string
 }
 
-// Diff lists the differences from a to b: first what a has and b lacks or has
-// otherwise, in a's order, then what b adds, in b's order. Stages and
-// providers are matched by name; a change of their order is a line of its own.
-// The result is empty only for equal profiles. Both must be valid, since
-// unnamed or equally named stages can't be told apart.
+// Diff lists the differences from a to b: first the fields that b lacks or has with
+// another value, in a's order, then the fields that b adds, in b's order. Stages
+// and providers are matched by name; a change of their order is a line of its own.
+// The result is empty only for equal profiles. Both profiles must be valid, since
+// stages without a name or with equal names cannot be told apart.
 func Diff(a, b Profile) []DiffLine {
 	oldFields, newFields := fieldsOf(a), fieldsOf(b)
 	oldValues, newValues := valuesOf(oldFields), valuesOf(newFields)
@@ -98,7 +98,8 @@
 	return append(fields, field{path + ".weight", formatFloat(p.Weight)})
 }
 
-// orderOf lists the names of the elements, so that a change of order shows.
+// orderOf joins the names of the elements, so that a change of order is a
+// difference.
 func orderOf[T any](list []T, name func(T) string) string {
 	names := make([]string, 0, len(list))
 	for _, element := range list {
@@ -109,7 +110,7 @@
 
 func formatFloat(f float64) string { return strconv.FormatFloat(f, 'g', -1, 64) }
 
-// String shows the line as operators read it.
+// String formats the line for operators.
 func (l DiffLine) String() string {
 	switch {
 	case l.Old == "":
--- a/internal/profile/profile_test.go
+++ b/internal/profile/profile_test.go
@@ -275,7 +275,7 @@
 	})
 }
 
-// shorten makes a valid name of an identifier.
+// shorten turns a generated identifier into a valid name.
 func shorten(identifier string) string {
 	name := strings.ToLower(identifier)
 	return name[:min(len(name), MaxNameLength-2)]
@@ -293,14 +293,14 @@
 		}
 		again, err := Marshal(p)
 		if err != nil {
-			t.Fatalf("a valid profile does not marshal: %v", err)
+			t.Fatalf("marshalling a valid profile: %v", err)
 		}
 		back, err := Parse(again)
 		if err != nil {
 			t.Fatalf("%v in\n%s", err, again)
 		}
 		if len(Diff(p, back)) != 0 {
-			t.Fatalf("changed on the way: %v", Diff(p, back))
+			t.Fatalf("the profile changed in the round trip: %v", Diff(p, back))
 		}
 	})
 }
--- a/internal/profile/toml.go
+++ b/internal/profile/toml.go
@@ -10,8 +10,9 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Defaults of what a TOML file leaves out. A stage that does not say that it
-// is idempotent is not: the mistake then costs a claim, not a double run.
+// Defaults of keys that a TOML file omits. A stage is not idempotent unless it is
+// declared so: if it was omitted by mistake, that costs a claim and not a
+// duplicate execution.
 const (
 	DefaultPriority       = 5
 	DefaultDeadline       = 10 * time.Second
@@ -21,9 +22,9 @@
 	DefaultProviderWeight = 1.0
 )
 
-// duration is a time.Duration that TOML holds as a string such as "2.5s". It
-// is a struct because the decoder would read a bare number into an integer
-// type, and "deadline = 2" would silently mean two nanoseconds.
+// duration is a time.Duration that TOML holds as a string such as "2.5s". It is a
+// struct because the decoder would accept a bare number for an integer type, and
+// "deadline = 2" would silently mean two nanoseconds.
 type duration struct {
 	time.Duration
 }
@@ -43,8 +44,8 @@
 	return nil
 }
 
-// durationError is a value that is no duration. The decoder adds the key when
-// the value was a string and leaves it out when it was a number.
+// durationError is the error of a value that is not a duration. The decoder adds the
+// key if the value was a string and omits it if it was a number.
 type durationError struct {
 	text string
 }
@@ -54,8 +55,8 @@
 	return fmt.Sprintf("%q is not a duration such as \"2.5s\" or \"800ms\"", e.text)
 }
 
-// document is the TOML form of a profile. Pointers tell what was left out
-// from what was set to zero: a provider of weight 0 is a drained one.
+// document is the TOML form of a profile. Pointers distinguish omitted keys from
+// zero values: a provider of weight 0 is drained.
 type document struct {
 	Name       string          `toml:"name"`
 	Priority   *int            `toml:"priority"`
@@ -83,14 +84,14 @@
 	Weight  *float64 `toml:"weight"`
 }
 
-// Parse reads a profile from TOML and fills in the defaults. Unknown keys and
-// values of a wrong type are errors that name the key and the line. Parse does
-// not check the rules of Validate.
+// Parse reads a profile from TOML and sets the defaults. Unknown keys and values of
+// the wrong type are errors that name the key and the line. Parse does not apply
+// the rules of Validate.
 func Parse(text []byte) (Profile, error) {
 	var doc document
 	decoder := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields()
 	if err := decoder.Decode(&doc); err != nil {
-		return Profile{}, describe(err)
+		return Profile{}, describeDecodeError(err)
 	}
 	return doc.profile(), nil
 }
@@ -104,8 +105,9 @@
 	return text, nil
 }
 
-// describe turns the decoder's errors into one line that names key and place.
-func describe(err error) error {
+// describeDecodeError turns the decoder's errors into one line that names the key
+// and its position.
+func describeDecodeError(err error) error {
 	var strict *toml.StrictMissingError
 	if errors.As(err, &strict) && len(strict.Errors) > 0 {
 		first := strict.Errors[0]
@@ -123,7 +125,7 @@
 	}
 	var notDuration durationError
 	if errors.As(err, &notDuration) {
-		return fmt.Errorf("deadline: %w", notDuration) // the only duration of a document
+		return fmt.Errorf("deadline: %w", notDuration) // the only duration in a document
 	}
 	return err
 }
--- a/internal/profile/validate.go
+++ b/internal/profile/validate.go
@@ -7,20 +7,20 @@
 	"time"
 )
 
-// Bounds of a valid profile. They keep one careless file from holding
-// accelerators for minutes or filling an instance's memory.
+// Bounds of a valid profile. They keep a single mistaken file from occupying
+// accelerators for minutes or exhausting an instance's memory.
 const (
-	MinDeadline   = 10 * time.Millisecond
-	MaxDeadline   = time.Minute
-	MinPriority   = 0
-	MaxPriority   = 9
-	MaxStages     = 16
-	MaxProviders  = 8
-	MaxTokens     = 32768
-	MaxInputKB    = 16 * 1024
-	MaxNameLength = 63
-	maxWeight     = 1e6
-	shareSlack    = 1e-9 // for the sum of shares such as 0.1 + 0.2 + 0.7
+	MinDeadline    = 10 * time.Millisecond
+	MaxDeadline    = time.Minute
+	MinPriority    = 0
+	MaxPriority    = 9
+	MaxStages      = 16
+	MaxProviders   = 8
+	MaxTokens      = 32768
+	MaxInputKB     = 16 * 1024
+	MaxNameLength  = 63
+	maxWeight      = 1e6
+	shareTolerance = 1e-9 // for the sum of shares such as 0.1 + 0.2 + 0.7
 )
 
 var (
@@ -28,19 +28,19 @@
 	modelPattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._:/+-]{0,127}$`)
 )
 
-// Problem is one broken rule.
+// Problem is one violated rule.
 type Problem struct {
 	Path    string `json:"path"` // such as stages.draft.providers.new.weight
 	Message string `json:"message"`
 }
 
-// InvalidError lists every rule that a profile breaks.
+// InvalidError lists every rule that a profile violates.
 type InvalidError struct {
 	Name     string
 	Problems []Problem
 }
 
-// Error implements error; it names each problem by its TOML path.
+// Error implements error. It names each problem by its TOML path.
 func (e *InvalidError) Error() string {
 	lines := make([]string, 0, len(e.Problems))
 	for _, p := range e.Problems {
@@ -49,11 +49,11 @@
 	return fmt.Sprintf("profile %q: %s", e.Name, strings.Join(lines, "; "))
 }
 
-// Validate checks every rule and returns nil or an *InvalidError with all
-// that are broken, in the order of the file.
+// Validate checks every rule. It returns nil or an *InvalidError with all violated
+// rules, in the order of the file.
 func Validate(p Profile) error {
 	c := &checker{}
-	c.checkHead(p)
+	c.checkProfileFields(p)
 	c.checkStages(p.Stages)
 	if len(c.problems) == 0 {
 		return nil
@@ -70,7 +70,7 @@
 	c.problems = append(c.problems, Problem{Path: path, Message: fmt.Sprintf(format, args...)})
 }
 
-func (c *checker) checkHead(p Profile) {
+func (c *checker) checkProfileFields(p Profile) {
 	c.checkName("name", p.Name)
 	if p.Priority < MinPriority || p.Priority > MaxPriority {
 		c.addf("priority", "is %d; must be %d to %d", p.Priority, MinPriority, MaxPriority)
@@ -104,7 +104,7 @@
 		total += s.Share
 		c.checkStage(path, s)
 	}
-	if total > 1+shareSlack {
+	if total > 1+shareTolerance {
 		c.addf("stages", "shares add up to %.3g; at most 1", total)
 	}
 }
@@ -216,7 +216,7 @@
 	return false
 }
 
-// NeedsModel reports whether a provider of such a stage must name a model and
-// its version. Pools of encoders, retrievers and rerankers run a fixed model
-// of their own and may leave it out.
+// NeedsModel reports whether a provider of a stage of this kind must name a model and
+// its version. Pools of encoders, retrievers and rerankers run a fixed model of
+// their own, so their providers may omit it.
 func (k Kind) NeedsModel() bool { return k == KindGenerate }
