--- a/internal/store/memstore/copy.go
+++ b/internal/store/memstore/copy.go
@@ -7,22 +7,22 @@
 	"lynxhill.example/lynxhill/internal/store"
 )
 
-// Copy is the state of a store at a moment.
+// Copy is the state of a store at one point in time.
 type Copy struct {
 	objects   map[string]store.Object
 	version   uint64
-	instances map[string][]listing
+	instances map[string][]listEntry
 }
 
-// Copy returns the store's state now.
+// Copy returns the current state of the store.
 func (s *Store) Copy() Copy {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return Copy{objects: maps.Clone(s.objects), version: s.version, instances: cloneInstances(s.instances)}
 }
 
-// Return brings the store back to an older state in a new era: what was written
-// since is gone, and its revisions are given out again. Watches have to list.
+// Return restores the store to an older state in a new era: later writes are lost and
+// their revisions are assigned again. Watches have to list again.
 func (s *Store) Return(c Copy) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -39,8 +39,8 @@
 	s.changed = make(chan struct{})
 }
 
-func cloneInstances(instances map[string][]listing) map[string][]listing {
-	clone := make(map[string][]listing, len(instances))
+func cloneInstances(instances map[string][]listEntry) map[string][]listEntry {
+	clone := make(map[string][]listEntry, len(instances))
 	for id, history := range instances {
 		clone[id] = slices.Clone(history)
 	}
--- a/internal/store/memstore/faults.go
+++ b/internal/store/memstore/faults.go
@@ -7,24 +7,24 @@
 	"lynxhill.example/lynxhill/internal/store"
 )
 
-// Faults are the switches. The zero value is a healthy store.
+// Faults are the faults that the store injects. The zero value is a healthy store.
 type Faults struct {
 	Outage    bool    // every call is refused
-	Throttle  float64 // share of calls refused as over the limit
+	Throttle  float64 // share of calls refused as over the rate limit
 	LoseReply float64 // share of writes that take effect and whose reply is lost
-	// Delay and a random part of Jitter pass before a call takes effect. A
-	// write whose caller gives up meanwhile still takes effect later.
+	// Delay and a random part of Jitter pass before a call takes effect. A write
+	// whose caller gives up in the meantime still takes effect later.
 	Delay      time.Duration
 	Jitter     time.Duration
 	WriteDelay time.Duration // added for writes
 }
 
-// SetFaults replaces the switches.
+// SetFaults replaces the injected faults.
 func (s *Store) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
-	close(s.changed) // waiting watches look at the switches again
+	close(s.changed) // waiting watches check the faults again
 	s.changed = make(chan struct{})
 }
 
@@ -36,7 +36,7 @@
 	kindWatch
 )
 
-// window counts calls in the current second.
+// window counts the calls in the current second.
 type window struct {
 	start time.Time
 	calls int
@@ -53,7 +53,7 @@
 	return float64(w.calls) <= limit
 }
 
-// enter counts a call and refuses it if a fault or a limit says so.
+// enter counts a call, and refuses it if a fault or a rate limit requires that.
 func (s *Store) enter(ctx context.Context, k kind) error {
 	if ctx.Err() != nil {
 		return store.ErrUnavailable
@@ -72,8 +72,8 @@
 	return nil
 }
 
-// count adds a call of the kind and reports whether it is within the limit.
-// s.mu is held.
+// count adds a call of the kind and reports whether it is within the rate limit.
+// The caller holds s.mu.
 func (s *Store) count(k kind) bool {
 	now := s.opts.Clock.Now()
 	switch k {
@@ -102,7 +102,7 @@
 	return d
 }
 
-func (s *Store) loses() bool {
+func (s *Store) losesReply() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.rng.Float64() < s.faults.LoseReply
@@ -149,7 +149,7 @@
 	}
 	select {
 	case r := <-answer:
-		if s.loses() {
+		if s.losesReply() {
 			return store.Object{}, store.ErrUnknown
 		}
 		return r.obj, r.err
--- a/internal/store/memstore/instances.go
+++ b/internal/store/memstore/instances.go
@@ -8,32 +8,34 @@
 	"lynxhill.example/lynxhill/internal/store"
 )
 
-// listing is an entry of the instance list since a moment.
-type listing struct {
+// listEntry is an entry of the instance list, valid from the time since.
+type listEntry struct {
 	since    time.Time
-	gone     bool
+	removed  bool
 	instance store.Instance
 }
 
-// Instances implements store.InstanceLister: the list as it was InstanceLag ago.
+// Instances implements store.InstanceLister. It returns the list as it was
+// InstanceLag ago.
 func (s *Store) Instances(ctx context.Context) ([]store.Instance, error) {
 	var out []store.Instance
 	err := s.read(ctx, func() error {
-		out = s.listed(s.opts.Clock.Now().Add(-s.opts.InstanceLag))
+		out = s.instancesAt(s.opts.Clock.Now().Add(-s.opts.InstanceLag))
 		return nil
 	})
 	return out, err
 }
 
-// listed returns the instances as of the moment, by id. s.mu is held.
-func (s *Store) listed(at time.Time) []store.Instance {
+// instancesAt returns the instances listed at the given time, by id. The caller holds
+// s.mu.
+func (s *Store) instancesAt(at time.Time) []store.Instance {
 	var out []store.Instance
 	for _, history := range s.instances {
 		for i := len(history) - 1; i >= 0; i-- {
 			if history[i].since.After(at) {
 				continue
 			}
-			if !history[i].gone {
+			if !history[i].removed {
 				out = append(out, history[i].instance)
 			}
 			break
@@ -52,14 +54,14 @@
 	return err
 }
 
-// SetInstance changes the list as the platform itself would.
+// SetInstance adds or replaces an entry of the list, as the platform itself would.
 func (s *Store) SetInstance(instance store.Instance) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.setInstance(instance, false)
 }
 
-// RemoveInstance takes an instance off the list.
+// RemoveInstance removes an instance from the list.
 func (s *Store) RemoveInstance(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -67,7 +69,7 @@
 }
 
 func (s *Store) setInstance(instance store.Instance, gone bool) {
-	entry := listing{since: s.opts.Clock.Now(), gone: gone, instance: instance}
+	entry := listEntry{since: s.opts.Clock.Now(), removed: gone, instance: instance}
 	s.instances[instance.ID] = append(s.instances[instance.ID], entry)
 }
 
--- a/internal/store/memstore/memstore.go
+++ b/internal/store/memstore/memstore.go
@@ -1,6 +1,6 @@
-// Package memstore is an in-memory store.Store for tests. It keeps versions as
-// the platform does, counts calls, and has switches for the platform's faults.
-// It runs in virtual time inside a testing/synctest bubble.
+// Package memstore is an in-memory store.Store for tests. It assigns versions as the
+// platform does, counts calls, and injects the platform's faults. It runs in virtual
+// time inside a testing/synctest bubble.
 package memstore
 
 import (
@@ -28,9 +28,10 @@
 	Clock       clock.Clock
 	Seed        uint64
 	WatchWait   time.Duration // how long a watch waits for a change
-	InstanceLag time.Duration // age of the instance list that is handed out
+	InstanceLag time.Duration // age of the instance list that is returned
 	MaxValue    int           // bytes
-	// WritesPerSecond and ReadsPerSecond are the platform's limits; 0 is none.
+	// WritesPerSecond and ReadsPerSecond are the platform's rate limits; 0 means
+	// no limit.
 	WritesPerSecond float64
 	ReadsPerSecond  float64
 }
@@ -51,16 +52,16 @@
 type Store struct {
 	opts Options
 
-	mu        sync.Mutex // guards all below
+	mu        sync.Mutex // guards the fields below
 	rng       *rand.Rand
 	objects   map[string]store.Object // deleted ones stay as tombstones for watches
 	version   uint64
-	compacted uint64 // watches from before this version must list again
+	compacted uint64 // watches that continue from below this version must list again
 	changed   chan struct{}
 	faults    Faults
 	counts    Counts
-	written   int64 // bytes of values
-	instances map[string][]listing
+	written   int64 // bytes of all values written
+	instances map[string][]listEntry
 	writes    window
 	reads     window
 }
@@ -81,7 +82,7 @@
 		rng:       rand.New(rand.NewPCG(opts.Seed, 1)),
 		objects:   make(map[string]store.Object),
 		changed:   make(chan struct{}),
-		instances: make(map[string][]listing),
+		instances: make(map[string][]listEntry),
 	}
 }
 
@@ -99,7 +100,8 @@
 	return s.written
 }
 
-// Compact makes watches from before the current version list again.
+// Compact makes watches that continue from below the current version list again, and
+// removes the tombstones.
 func (s *Store) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -159,8 +161,8 @@
 	return err
 }
 
-// replace puts next in place of the object of the same key if that has
-// ifVersion. s.mu is held.
+// replace stores next in place of the object of the same key if that has the version
+// ifVersion. The caller holds s.mu.
 func (s *Store) replace(next store.Object, ifVersion uint64) (store.Object, error) {
 	old, ok := s.objects[next.Key]
 	current := old.Version
@@ -183,8 +185,8 @@
 	return next, nil
 }
 
-// since returns the objects with the prefix and a version above after, by key.
-// s.mu is held.
+// since returns the objects with the prefix and a version above after, by key. The
+// caller holds s.mu.
 func (s *Store) since(prefix string, after uint64, deleted bool) []store.Object {
 	var out []store.Object
 	for key, obj := range s.objects {
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -13,20 +13,21 @@
 
 // Errors of a Store. Test with errors.Is.
 var (
-	// ErrConflict: the condition on the version did not hold; nothing was written.
+	// ErrConflict means that the condition on the version did not hold. Nothing
+	// was written.
 	ErrConflict = errors.New("store: version conflict")
-	// ErrNotFound: no such object.
+	// ErrNotFound means that there is no such object.
 	ErrNotFound = errors.New("store: not found")
-	// ErrUnavailable: the call was certainly not carried out (refused, or no
-	// byte of it was sent).
+	// ErrUnavailable means that the call was certainly not carried out: it was
+	// refused, or no byte of it was sent.
 	ErrUnavailable = errors.New("store: unavailable")
-	// ErrThrottled: refused by the platform's rate limit or by our own budget;
-	// certainly not carried out.
+	// ErrThrottled means that the call was refused by the platform's rate limit
+	// or by the instance's own budget. It was certainly not carried out.
 	ErrThrottled = errors.New("store: throttled")
-	// ErrUnknown: the reply was lost. The write may or may not have taken
-	// effect; read back to find out.
+	// ErrUnknown means that the reply was lost. The write may or may not have
+	// taken effect; the caller has to read back to find out.
 	ErrUnknown = errors.New("store: outcome unknown")
-	// ErrTooLarge: the value exceeds the platform's limit.
+	// ErrTooLarge means that the value exceeds the platform's limit.
 	ErrTooLarge = errors.New("store: value too large")
 )
 
@@ -36,8 +37,8 @@
 // Instance is an entry of the platform's instance list.
 type Instance = platformapi.Instance
 
-// Priority orders calls when the client's budget is short: lower ones are
-// refused with ErrThrottled first.
+// Priority orders calls when the client's budget is short: calls of lower priority
+// are refused with ErrThrottled first.
 type Priority int
 
 // Priorities of store calls, from the first to be shed to the last.
@@ -65,9 +66,9 @@
 
 type watchWaitKey struct{}
 
-// WithWatchWait sets how long a Watch under ctx waits for a change before it
-// returns without one. Its return tells the caller that what it holds is still
-// current, so a caller that needs to know that sets a short wait.
+// WithWatchWait sets how long a Watch under ctx waits for a change before it returns
+// without one. Its return confirms that what the caller holds is still current, so
+// a caller that needs the confirmation often sets a short wait.
 func WithWatchWait(ctx context.Context, wait time.Duration) context.Context {
 	return context.WithValue(ctx, watchWaitKey{}, wait)
 }
@@ -80,18 +81,18 @@
 	return fallback
 }
 
-type oldKey struct{}
+type staleKey struct{}
 
-// WithOld lets the reads under ctx (Get, List and Instances, no watch) return
-// data that may be seconds old, where the platform offers such reads for less
-// than others. It is for what is read again later or corrected by other means.
+// WithOld allows the reads under ctx (Get, List and Instances, but not Watch) to
+// return data that may be seconds old, where the platform offers stale reads at a
+// lower cost. It is for data that is read again later or corrected by other means.
 func WithOld(ctx context.Context) context.Context {
-	return context.WithValue(ctx, oldKey{}, true)
+	return context.WithValue(ctx, staleKey{}, true)
 }
 
 // MayBeOld reports whether WithOld was set.
 func MayBeOld(ctx context.Context) bool {
-	old, _ := ctx.Value(oldKey{}).(bool)
+	old, _ := ctx.Value(staleKey{}).(bool)
 	return old
 }
 
@@ -116,21 +117,22 @@
 
 // Watcher waits for changes.
 type Watcher interface {
-	// Watch blocks until an object with the prefix has a version above after,
-	// and returns those objects (Deleted set for removed ones) with the
-	// version to go on from. It returns no objects when its wait ran out, and
-	// compacted when the caller has to List again.
+	// Watch blocks until an object with the prefix has a version above after. It
+	// returns those objects (with Deleted set for removed ones) and the version to
+	// continue from. It returns no objects when its wait expired, and compacted
+	// when the caller has to List again.
 	Watch(ctx context.Context, prefix string, after uint64) (objects []Object, version uint64, compacted bool, err error)
 }
 
-// InstanceLister reads and writes the platform's instance list, which lags.
+// InstanceLister reads and writes the platform's instance list, which lags behind the
+// actual state.
 type InstanceLister interface {
 	Instances(ctx context.Context) ([]Instance, error)
-	// Register announces or refreshes this instance.
+	// Register adds this instance to the list or refreshes its entry.
 	Register(ctx context.Context, self Instance) error
 }
 
-// Store is the whole platform.
+// Store is the whole interface to the platform.
 type Store interface {
 	Reader
 	Writer
--- a/internal/store/version.go
+++ b/internal/store/version.go
@@ -1,24 +1,24 @@
 package store
 
-// A version orders the states of a store across its eras. A store may come back
-// from an older copy: its revisions go back then and are given out again, and its
-// era rises. So a version holds both, the era first, and versions are compared as
-// numbers.
+// A version orders the states of a store across its eras (restore epochs). When a
+// store is restored from an older copy, its revisions go back and are assigned
+// again, and its era increases. A version therefore holds both, with the era in the
+// high bits, and versions are compared as numbers.
 //
-// What goes wrong if revisions alone are compared: after such a return everything
-// new looks old until the revisions have passed those that were lost, and a
-// revision that is given out again looks like the state that it was before. One
-// notices changes that are in force nowhere for minutes.
+// If only revisions were compared, then after a restore everything new would look
+// old until the revisions exceed those that were lost, and a revision that is
+// assigned again would look like the state that had it before. The symptom is
+// changes that are not in force anywhere for minutes.
 
-// revisionBits is how much of a version is its revision: at a thousand changes a
-// second it lasts for 30 years.
+// revisionBits is the number of low bits of a version that hold its revision. At a
+// thousand changes a second they last for 30 years.
 const revisionBits = 40
 
-// maxRevision is the highest revision that a version holds.
+// maxRevision is the highest revision that a version can hold.
 const maxRevision = 1<<revisionBits - 1
 
-// VersionAt returns the version of a revision in an era. A revision beyond the
-// highest counts as that.
+// VersionAt returns the version of a revision in an era. A revision above the highest
+// one counts as the highest.
 func VersionAt(era, revision uint64) uint64 {
 	return era<<revisionBits | min(revision, maxRevision)
 }
