--- a/internal/storeclient/budget.go
+++ b/internal/storeclient/budget.go
@@ -9,15 +9,15 @@
 	"lynxhill.example/lynxhill/internal/store"
 )
 
-// Budget is this instance's part of the platform's limits. The platform counts
-// every call, a waiting watch too.
+// Budget is this instance's part of the platform's rate limits. The platform counts
+// every call, including a waiting watch.
 type Budget struct {
 	WritesPerSecond float64 // Put, Delete and Register
 	ReadsPerSecond  float64 // Get, List, Instances, and each Watch call
-	Watches         int     // watches that wait at the same time
+	Watches         int     // watches in flight at the same time
 }
 
-// DefaultBudget is an instance's part of DefaultFleetBudget at eight instances.
+// DefaultBudget is an instance's part of DefaultFleetBudget in a fleet of eight.
 var DefaultBudget = Budget{WritesPerSecond: 40, ReadsPerSecond: 150, Watches: 8}
 
 // withDefaults fills in zero fields.
@@ -28,31 +28,31 @@
 	return b
 }
 
-// Timing of outages and returns.
+// Limits and times of outage detection, recovery and rate reduction.
 const (
-	// failuresToDown consecutive calls that did not get through mean an outage.
+	// failuresToDown is the number of consecutive failed calls that mean an outage.
 	failuresToDown = 3
 	minBackoff     = 250 * time.Millisecond
 	maxBackoff     = 30 * time.Second
-	// stoppingBackoff is the longest wait between the probes of a stopping
-	// instance.
+	// stoppingBackoff is the longest wait between the probes of an instance that is
+	// shutting down.
 	stoppingBackoff = 500 * time.Millisecond
-	// returnSpread is the time over which the instances' less important calls
-	// come back after an outage.
-	returnSpread = 10 * time.Second
-	// burstSeconds is how much unused budget is kept.
+	// recoverySpread is the range of the random delay after which the instances'
+	// less important calls resume after an outage.
+	recoverySpread = 10 * time.Second
+	// burstSeconds is how many seconds of unused budget a bucket holds.
 	burstSeconds = 2.0
-	// minRate is the least part of the budget that throttling leaves.
+	// minRate is the smallest part of the budget to which throttling reduces it.
 	minRate = 0.1
-	// rateRecovery is the part of the budget won back each second after the
+	// rateRecovery is the part of the budget that is restored each second after the
 	// platform throttled.
 	rateRecovery = 0.05
-	// throttleWindow is how long refusals count as one sign: those of calls
-	// that were under way together say nothing new.
+	// throttleWindow is the time within which all throttled calls count as one
+	// signal: calls that were in flight together carry no further information.
 	throttleWindow = 250 * time.Millisecond
 )
 
-// callKind is a kind of call, as the budget counts it.
+// callKind is the kind of a call, as the budget counts it.
 type callKind int
 
 const (
@@ -61,18 +61,18 @@
 	callWatch
 )
 
-// callResult is what a call tells about the platform's health.
+// callResult is what the end of a call says about the platform's health.
 type callResult int
 
 const (
 	resultOK        callResult = iota // the platform answered
-	resultThrottled                   // it refused by its rate limit
-	resultFailed                      // it refused as unavailable, or did not answer
-	resultNone                        // the caller gave up first: nothing is known
+	resultThrottled                   // it refused the call by its rate limit
+	resultFailed                      // it refused the call as unavailable, or did not answer
+	resultNone                        // the caller gave up first, so the result says nothing
 )
 
-// reserve is the share of the burst that a priority leaves for higher ones,
-// so that the less important calls are refused first.
+// reserve is the part of the burst that a priority leaves for higher priorities, so
+// that the less important calls are shed first.
 var reserve = map[store.Priority]float64{
 	store.PriorityBackground: 0.50,
 	store.PriorityControl:    0.25,
@@ -106,9 +106,10 @@
 	return true
 }
 
-// governor decides which calls go out. It is not safe for concurrent use and
-// reads no clock: every method is told the time.
-type governor struct {
+// limiter decides which calls are sent: it is the rate limiter and the circuit breaker
+// of a client. It is not safe for concurrent use and reads no clock: the caller passes
+// the time to every method.
+type limiter struct {
 	budget  Budget
 	rng     *rand.Rand
 	reads   bucket
@@ -117,34 +118,34 @@
 
 	share     float64   // part of the rates in use, lowered when throttled
 	shareAt   time.Time // when share was last adjusted
-	cutAt     time.Time // when throttling last lowered it
-	failures  int       // in a row
+	reducedAt time.Time // when throttling last reduced it
+	failures  int       // consecutive
 	down      bool
 	probing   bool
 	backoff   time.Duration
 	nextProbe time.Time
-	// resume holds, after an outage, when each priority may call again.
-	resume map[store.Priority]time.Time
-	// stopping says that the instance is about to end: it cannot wait for its
-	// turn after an outage.
+	// resumeAt holds, after an outage, when each priority may call again.
+	resumeAt map[store.Priority]time.Time
+	// stopping is set while the instance shuts down: its calls cannot wait for
+	// resumeAt after an outage.
 	stopping bool
 }
 
-func newGovernor(b Budget, seed uint64) *governor {
+func newLimiter(b Budget, seed uint64) *limiter {
 	b = b.withDefaults()
-	return &governor{
-		budget: b,
-		rng:    rand.New(rand.NewPCG(seed, 2)),
-		reads:  bucket{rate: b.ReadsPerSecond},
-		writes: bucket{rate: b.WritesPerSecond},
-		share:  1,
-		resume: make(map[store.Priority]time.Time),
+	return &limiter{
+		budget:   b,
+		rng:      rand.New(rand.NewPCG(seed, 2)),
+		reads:    bucket{rate: b.ReadsPerSecond},
+		writes:   bucket{rate: b.WritesPerSecond},
+		share:    1,
+		resumeAt: make(map[store.Priority]time.Time),
 	}
 }
 
-// setBudget changes the rates. What was saved up under the old ones is cut to
-// the new burst with the next refill.
-func (g *governor) setBudget(now time.Time, b Budget) {
+// setBudget changes the rates. Tokens saved under the old rates are limited to the new
+// burst at the next refill.
+func (g *limiter) setBudget(now time.Time, b Budget) {
 	g.reads.refill(now, g.share)
 	g.writes.refill(now, g.share)
 	g.budget = b.withDefaults()
@@ -152,9 +153,10 @@
 	g.writes.rate = g.budget.WritesPerSecond
 }
 
-// admit asks to make a call now. probe says that the call is the one that
-// tries a platform that was down. Every admitted call ends with done.
-func (g *governor) admit(now time.Time, kind callKind, p store.Priority) (probe bool, err error) {
+// admit decides whether a call may be sent now. probe reports that the call tests a
+// platform that is considered down. The caller has to call done for every admitted
+// call.
+func (g *limiter) admit(now time.Time, kind callKind, p store.Priority) (probe bool, err error) {
 	if g.down {
 		if g.probing || now.Before(g.nextProbe) {
 			return false, store.ErrUnavailable
@@ -163,10 +165,10 @@
 		g.enter(kind)
 		return true, nil
 	}
-	if now.Before(g.resume[p]) {
+	if now.Before(g.resumeAt[p]) {
 		return false, store.ErrThrottled
 	}
-	g.adjust(now)
+	g.recoverRates(now)
 	if kind == callWatch && g.watches >= g.budget.Watches {
 		return false, store.ErrThrottled
 	}
@@ -177,13 +179,13 @@
 	return false, nil
 }
 
-func (g *governor) enter(kind callKind) {
+func (g *limiter) enter(kind callKind) {
 	if kind == callWatch {
 		g.watches++
 	}
 }
 
-func (g *governor) bucketOf(kind callKind, now time.Time) *bucket {
+func (g *limiter) bucketOf(kind callKind, now time.Time) *bucket {
 	b := &g.reads
 	if kind == callWrite {
 		b = &g.writes
@@ -192,16 +194,16 @@
 	return b
 }
 
-// adjust wins back what throttling took away.
-func (g *governor) adjust(now time.Time) {
+// recoverRates restores the rates gradually after throttling reduced them.
+func (g *limiter) recoverRates(now time.Time) {
 	if !g.shareAt.IsZero() && g.share < 1 {
 		g.share = math.Min(1, g.share+rateRecovery*now.Sub(g.shareAt).Seconds())
 	}
 	g.shareAt = now
 }
 
-// done reports how an admitted call ended.
-func (g *governor) done(now time.Time, kind callKind, probe bool, result callResult) {
+// done records the result of an admitted call.
+func (g *limiter) done(now time.Time, kind callKind, probe bool, result callResult) {
 	if kind == callWatch {
 		g.watches--
 	}
@@ -212,31 +214,31 @@
 	case resultFailed:
 		g.failed(now, probe)
 	case resultThrottled:
-		g.cut(now)
+		g.reduceRates(now)
 		g.answered(now)
 	case resultOK:
 		g.answered(now)
 	case resultNone:
 		if probe {
-			g.schedule(now) // the next caller tries
+			g.scheduleProbe(now) // the next caller probes
 		}
 	}
 }
 
-// cut halves the rates, once for all refusals within throttleWindow. After an
-// outage the platform refuses a burst of calls at once; halving for each of
-// them would leave the instance at a tenth of its budget for many seconds.
-func (g *governor) cut(now time.Time) {
-	if !g.cutAt.IsZero() && now.Sub(g.cutAt) < throttleWindow {
+// reduceRates halves the rates, once for all throttled calls within throttleWindow.
+// After an outage the platform refuses a burst of calls at once; halving the rates for
+// each of them would leave the instance at a tenth of its budget for many seconds.
+func (g *limiter) reduceRates(now time.Time) {
+	if !g.reducedAt.IsZero() && now.Sub(g.reducedAt) < throttleWindow {
 		return
 	}
-	g.cutAt = now
-	g.adjust(now)
+	g.reducedAt = now
+	g.recoverRates(now)
 	g.share = math.Max(minRate, g.share/2)
 	g.reads.tokens, g.writes.tokens = g.reads.tokens/2, g.writes.tokens/2
 }
 
-func (g *governor) failed(now time.Time, probe bool) {
+func (g *limiter) failed(now time.Time, probe bool) {
 	g.failures++
 	switch {
 	case g.down && probe:
@@ -247,13 +249,13 @@
 	default:
 		return
 	}
-	g.schedule(now)
+	g.scheduleProbe(now)
 }
 
-// schedule sets when the platform is tried next. Half of the wait is fixed, so
-// that probes stay rare, and half is drawn, so that instances that lost the
-// platform together try it apart.
-func (g *governor) schedule(now time.Time) {
+// scheduleProbe sets the time of the next probe. Half of the backoff is fixed, so that
+// probes stay rare, and half is jitter, so that instances that lost the platform at the
+// same time probe it at different times.
+func (g *limiter) scheduleProbe(now time.Time) {
 	if g.stopping {
 		g.backoff = min(g.backoff, stoppingBackoff)
 	}
@@ -261,11 +263,11 @@
 	g.nextProbe = now.Add(half + time.Duration(g.rng.Int64N(int64(half))))
 }
 
-// answered ends an outage. All instances see the platform come back within
-// seconds of one another; if each then sent all that has been waiting, the
-// platform would be throttled or fall over at once. So the less important
-// calls wait a drawn time first, and the budget starts without its burst.
-func (g *governor) answered(now time.Time) {
+// answered ends an outage. All instances see the platform come back within seconds of
+// one another; if each sent all its waiting calls at once, the platform would throttle
+// them or be overloaded. The less important calls therefore wait a random time first,
+// and the token buckets start at half of their burst.
+func (g *limiter) answered(now time.Time) {
 	g.failures = 0
 	if !g.down {
 		return
@@ -278,20 +280,21 @@
 	if g.stopping {
 		return
 	}
-	g.resume[store.PriorityControl] = now.Add(g.draw(returnSpread))
-	g.resume[store.PriorityBackground] = now.Add(returnSpread + g.draw(2*returnSpread))
-	g.resume[store.PriorityRequest] = now.Add(g.draw(time.Second))
+	g.resumeAt[store.PriorityControl] = now.Add(g.randomDelay(recoverySpread))
+	g.resumeAt[store.PriorityBackground] = now.Add(recoverySpread + g.randomDelay(2*recoverySpread))
+	g.resumeAt[store.PriorityRequest] = now.Add(g.randomDelay(time.Second))
 }
 
-// setStopping ends every wait that is longer than a stopping instance has.
-func (g *governor) setStopping(now time.Time) {
+// setStopping ends every wait that is longer than an instance that is shutting down
+// can afford.
+func (g *limiter) setStopping(now time.Time) {
 	g.stopping = true
-	clear(g.resume)
+	clear(g.resumeAt)
 	if g.down {
-		g.schedule(now)
+		g.scheduleProbe(now)
 	}
 }
 
-func (g *governor) draw(limit time.Duration) time.Duration {
+func (g *limiter) randomDelay(limit time.Duration) time.Duration {
 	return time.Duration(g.rng.Int64N(int64(limit)))
 }
--- a/internal/storeclient/budget_test.go
+++ b/internal/storeclient/budget_test.go
@@ -11,7 +11,7 @@
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 func TestLessImportantCallsAreShedFirst(t *testing.T) {
-	g := newGovernor(Budget{WritesPerSecond: 10, ReadsPerSecond: 10, Watches: 1}, 1)
+	g := newLimiter(Budget{WritesPerSecond: 10, ReadsPerSecond: 10, Watches: 1}, 1)
 	last := map[store.Priority]int{}
 	for i := range 100 {
 		for p := store.PriorityBackground; p <= store.PriorityOperator; p++ {
@@ -26,12 +26,12 @@
 		t.Errorf("last round that each priority got through: %v", last)
 	}
 	if _, err := g.admit(start, callRead, store.PriorityControl); err != nil {
-		t.Errorf("reads have a budget of their own: %v", err)
+		t.Errorf("reads have a separate budget: %v", err)
 	}
 }
 
 func TestWaitingWatchesAreLimited(t *testing.T) {
-	g := newGovernor(Budget{WritesPerSecond: 10, ReadsPerSecond: 10, Watches: 1}, 1)
+	g := newLimiter(Budget{WritesPerSecond: 10, ReadsPerSecond: 10, Watches: 1}, 1)
 	if _, err := g.admit(start, callWatch, store.PriorityControl); err != nil {
 		t.Fatal(err)
 	}
@@ -45,7 +45,7 @@
 }
 
 func TestThrottlingSlowsDown(t *testing.T) {
-	g := newGovernor(Budget{WritesPerSecond: 100, ReadsPerSecond: 100, Watches: 1}, 1)
+	g := newLimiter(Budget{WritesPerSecond: 100, ReadsPerSecond: 100, Watches: 1}, 1)
 	second := func(at time.Time, throttle bool) (admitted int) {
 		for i := range 1000 {
 			now := at.Add(time.Duration(i) * time.Millisecond)
@@ -75,7 +75,7 @@
 }
 
 func TestOneProbeAtATime(t *testing.T) {
-	g := newGovernor(Budget{}, 1)
+	g := newLimiter(Budget{}, 1)
 	for range failuresToDown {
 		_, _ = g.admit(start, callRead, store.PriorityControl)
 		g.done(start, callRead, false, resultFailed)
@@ -92,7 +92,7 @@
 	}
 	g.done(now, callRead, true, resultNone)
 	if !g.down {
-		t.Error("a caller that gave up ended the outage")
+		t.Error("a cancelled probe ended the outage")
 	}
 	now = now.Add(maxBackoff)
 	if probe, err := g.admit(now, callRead, store.PriorityControl); err != nil || !probe {
@@ -104,8 +104,8 @@
 	}
 }
 
-// limiter is the platform: its limits, and an outage.
-type limiter struct {
+// platformSim simulates the platform with its rate limits and an outage.
+type platformSim struct {
 	writes, reads         int // limits a second
 	second                int64
 	writesNow, readsNow   int
@@ -114,7 +114,7 @@
 	throttled, throttledW int
 }
 
-func (l *limiter) call(now time.Time, kind callKind) callResult {
+func (l *platformSim) call(now time.Time, kind callKind) callResult {
 	if s := now.Unix(); s != l.second {
 		l.second, l.writesNow, l.readsNow = s, 0, 0
 	}
@@ -138,10 +138,10 @@
 	return resultOK
 }
 
-// simClient is an instance with the calls that it makes over and over; each is
-// tried again soon when it fails, as waiting claims and watches are.
+// simClient is an instance with its periodic calls. A failed call is retried soon, as
+// waiting claims and watches are.
 type simClient struct {
-	g    *governor
+	g    *limiter
 	jobs []simJob
 }
 
@@ -155,7 +155,7 @@
 
 func newSimClient(seed uint64, b Budget) *simClient {
 	offset := start.Add(time.Duration(seed) * 7 * time.Millisecond)
-	return &simClient{g: newGovernor(b, seed), jobs: []simJob{
+	return &simClient{g: newLimiter(b, seed), jobs: []simJob{
 		{callWatch, store.PriorityControl, 20 * time.Second, time.Second, offset},
 		{callRead, store.PriorityControl, 5 * time.Second, time.Second, offset},
 		{callWrite, store.PriorityBackground, 10 * time.Second, time.Second, offset},
@@ -163,7 +163,7 @@
 	}}
 }
 
-func (c *simClient) step(now time.Time, l *limiter) {
+func (c *simClient) step(now time.Time, l *platformSim) {
 	for i := range c.jobs {
 		job := &c.jobs[i]
 		if now.Before(job.next) {
@@ -182,10 +182,9 @@
 	}
 }
 
-// Symptom: the platform comes back after an outage, is throttled at once and
-// goes on refusing for minutes. Events: 370 instances wait for it, each with
-// claims, watches and reports that failed. Cause: all of them call as soon as
-// it answers.
+// Guards against a thundering herd after an outage. 370 instances wait for the
+// platform, each with claims, watches and reports that failed. If all called as soon as
+// it answers, it would throttle them at once and go on refusing calls for minutes.
 func TestReturnWithoutHerd(t *testing.T) {
 	for _, outage := range []time.Duration{5 * time.Second, time.Minute, time.Hour} {
 		t.Run(outage.String(), func(t *testing.T) { testReturn(t, outage) })
@@ -195,7 +194,7 @@
 func testReturn(t *testing.T, outage time.Duration) {
 	const instances = 370
 	from := start.Add(time.Minute)
-	l := &limiter{writes: 400, reads: 2000, perSecond: make(map[int64]int), downFrom: from, downUntil: from.Add(outage)}
+	l := &platformSim{writes: 400, reads: 2000, perSecond: make(map[int64]int), downFrom: from, downUntil: from.Add(outage)}
 	var clients []*simClient
 	for i := range instances {
 		clients = append(clients, newSimClient(uint64(i), Budget{WritesPerSecond: 0.9, ReadsPerSecond: 5, Watches: 2}))
@@ -225,7 +224,7 @@
 	if allUp == 0 || allUp > maxBackoff {
 		t.Errorf("all back after %v", allUp)
 	}
-	// Without the drawn wait of the less important calls, the peak after the
+	// Without the random delay of the less important calls, the peak after the
 	// shortest outage is nine tenths of the peak before it.
 	if peak > before*3/4 {
 		t.Errorf("%d calls/s at the return, %d before the outage", peak, before)
@@ -238,26 +237,25 @@
 	}
 }
 
-func (l *limiter) peak(from, to time.Time) (calls int) {
+func (l *platformSim) peak(from, to time.Time) (calls int) {
 	for s := from.Unix(); s < to.Unix(); s++ {
 		calls = max(calls, l.perSecond[s])
 	}
 	return calls
 }
 
-func (l *limiter) total(from, to time.Time) (calls int) {
+func (l *platformSim) total(from, to time.Time) (calls int) {
 	for s := from.Unix(); s < to.Unix(); s++ {
 		calls += l.perSecond[s]
 	}
 	return calls
 }
 
-// Symptom: after an outage instances refused their own calls for seconds, far
-// below the platform's limits. Events: calls that had hung were answered
-// together, a dozen of them by the rate limit. Cause: each refusal halved the
-// budget once more.
+// Guards against an instance refusing its own calls for seconds after an outage, far
+// below the platform's limits. Calls that had hung are answered together, a dozen of
+// them with a refusal by the rate limit; they must not each halve the budget.
 func TestRefusalsOfOneBurstSlowDownOnce(t *testing.T) {
-	g := newGovernor(Budget{WritesPerSecond: 100, ReadsPerSecond: 100, Watches: 1}, 1)
+	g := newLimiter(Budget{WritesPerSecond: 100, ReadsPerSecond: 100, Watches: 1}, 1)
 	for range 12 {
 		if _, err := g.admit(start, callWrite, store.PriorityOperator); err != nil {
 			t.Fatal(err)
@@ -271,16 +269,16 @@
 	}
 }
 
-// Guards against a stopping instance that ends before its turn after an outage
-// comes, or before its next probe.
+// Guards against an instance that shuts down before its calls may resume after an
+// outage, or before its next probe.
 func TestStoppingInstanceDoesNotWaitForItsTurn(t *testing.T) {
 	now := time.Unix(1000, 0)
-	g := newGovernor(DefaultBudget, 1)
+	g := newLimiter(DefaultBudget, 1)
 	for range failuresToDown {
 		g.done(now, callWrite, false, resultFailed)
 	}
 	g.backoff = maxBackoff
-	g.schedule(now)
+	g.scheduleProbe(now)
 	g.setStopping(now)
 	now = now.Add(stoppingBackoff)
 	probe, err := g.admit(now, callWrite, store.PriorityControl)
--- a/internal/storeclient/call.go
+++ b/internal/storeclient/call.go
@@ -18,8 +18,8 @@
 	"lynxhill.example/lynxhill/internal/wire/platformapi"
 )
 
-// maxReply is the longest reply that is read, in bytes: a list of many objects
-// of up to a megabyte each.
+// maxReply is the largest reply that is read, in bytes: it allows a list of many
+// objects of up to a megabyte each.
 const maxReply = 64 << 20
 
 // call is one call of the platform's API.
@@ -35,7 +35,7 @@
 	return [...]string{callRead: "read", callWrite: "write", callWatch: "watch"}[k]
 }
 
-// errNotSent marks a failure before the first byte of the call was sent.
+// errNotSent marks a failure that occurred before the first byte of the call was sent.
 type errNotSent struct{ cause error }
 
 func (e errNotSent) Error() string { return e.cause.Error() }
@@ -51,15 +51,15 @@
 	if err != nil {
 		return err
 	}
-	err = c.attempts(ctx, op, out)
+	err = c.tryEndpoints(ctx, op, out)
 	c.done(op.kind, probe, resultOf(ctx, err))
 	return err
 }
 
 func (c *Client) admit(kind callKind, priority store.Priority) (probe bool, err error) {
-	c.governorMu.Lock()
-	probe, err = c.governor.admit(c.clock.Now(), kind, priority)
-	c.governorMu.Unlock()
+	c.limiterMu.Lock()
+	probe, err = c.limiter.admit(c.clock.Now(), kind, priority)
+	c.limiterMu.Unlock()
 	if errors.Is(err, store.ErrThrottled) {
 		c.shed.Add(strconv.Itoa(int(priority)), 1)
 	}
@@ -67,16 +67,16 @@
 }
 
 func (c *Client) done(kind callKind, probe bool, result callResult) {
-	c.governorMu.Lock()
-	before := c.governor.down
-	c.governor.done(c.clock.Now(), kind, probe, result)
-	after := c.governor.down
-	c.governorMu.Unlock()
+	c.limiterMu.Lock()
+	before := c.limiter.down
+	c.limiter.done(c.clock.Now(), kind, probe, result)
+	after := c.limiter.down
+	c.limiterMu.Unlock()
 	switch {
 	case !before && after:
 		c.up.Set(0)
 		c.logger.Log(event.PlatformDown)
-		// Kept connections may be dead; the next probe opens a new one.
+		// Idle connections may be broken; the next probe opens a new one.
 		c.http.CloseIdleConnections()
 	case before && !after:
 		c.up.Set(1)
@@ -84,9 +84,9 @@
 	}
 }
 
-// resultOf says what err tells about the platform. A caller that went away
-// while it waited says nothing; one whose deadline came says that the platform
-// was slow.
+// resultOf derives the callResult from err. A caller that cancelled its wait says
+// nothing about the platform; one whose deadline expired says that the platform was
+// slow.
 func resultOf(ctx context.Context, err error) callResult {
 	switch {
 	case errors.Is(err, store.ErrThrottled):
@@ -105,9 +105,9 @@
 	return errors.Is(err, store.ErrConflict) || errors.Is(err, store.ErrNotFound) || errors.Is(err, store.ErrTooLarge)
 }
 
-// attempts tries the endpoints in turn. It goes on to the next one only if no
-// byte of the call was sent: what may have been sent is never sent again.
-func (c *Client) attempts(ctx context.Context, op call, out any) error {
+// tryEndpoints tries the endpoints in turn. It continues with the next one only if no
+// byte of the call was sent: a call that may have been sent is never sent again.
+func (c *Client) tryEndpoints(ctx context.Context, op call, out any) error {
 	if len(c.endpoints) == 0 {
 		return fmt.Errorf("%w: no endpoint in the settings", store.ErrUnavailable)
 	}
@@ -125,7 +125,7 @@
 	return err
 }
 
-// attempt sends the call once and classifies its end.
+// attempt sends the call once and classifies the result.
 func (c *Client) attempt(ctx context.Context, base string, op call, out any) error {
 	timeout := callTimeout
 	if op.kind == callWatch {
@@ -142,15 +142,15 @@
 		return errNotSent{fmt.Errorf("%w: %w", store.ErrUnavailable, err)}
 	}
 	c.calls.Add(1)
-	c.callsBy.Add(op.kind.String(), 1)
+	c.callsByKind.Add(op.kind.String(), 1)
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return c.lost(op, connected.Load(), err)
+		return c.classifyLost(op, connected.Load(), err)
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxReply))
 	if err != nil {
-		return c.lost(op, true, err)
+		return c.classifyLost(op, true, err)
 	}
 	return c.decode(op, resp.StatusCode, body, out)
 }
@@ -165,10 +165,10 @@
 		return nil, err
 	}
 	if op.body != nil {
-		// The body is not given as a *bytes.Reader, so that net/http sets no
-		// GetBody and its transport has nothing to send a second time. What
-		// its transport repeats by itself is a read whose kept connection
-		// broke, and a call without a body of which no byte was written.
+		// The body is not passed as a *bytes.Reader, so that net/http sets no
+		// GetBody and its transport cannot send the body a second time. The
+		// transport itself only retries reads whose reused connection broke,
+		// and calls without a body of which no byte was written.
 		req.Body = io.NopCloser(onlyReader{bytes.NewReader(op.body)})
 		req.ContentLength = int64(len(op.body))
 	}
@@ -178,17 +178,17 @@
 	return req, nil
 }
 
-// onlyReader hides the type of a reader.
+// onlyReader hides the concrete type of a reader.
 type onlyReader struct{ io.Reader }
 
-// lost classifies a call that got no whole reply.
-func (c *Client) lost(op call, connected bool, cause error) error {
+// classifyLost returns the error for a call that got no complete reply.
+func (c *Client) classifyLost(op call, connected bool, cause error) error {
 	c.failed.Add(1)
 	if !connected {
 		return errNotSent{fmt.Errorf("%w: %w", store.ErrUnavailable, cause)}
 	}
-	// The connection may have gone silent. Without this the next calls would
-	// be written into it as well, each waiting for its own timeout.
+	// The connection may have gone silent. Without this, the next calls would be
+	// written to it as well, and each would wait for its own timeout.
 	c.http.CloseIdleConnections()
 	if op.kind != callWrite {
 		return fmt.Errorf("%w: %w", store.ErrUnavailable, cause)
@@ -197,14 +197,14 @@
 	return fmt.Errorf("%w: %w", store.ErrUnknown, cause)
 }
 
-// decode turns a whole reply into out or an error.
+// decode turns a complete reply into out or an error.
 func (c *Client) decode(op call, status int, body []byte, out any) error {
 	if status/100 == 2 {
 		return c.decodeOK(op, body, out)
 	}
 	var answer platformapi.Error
 	if err := json.Unmarshal(body, &answer); err != nil || answer.Code == "" {
-		return c.unclear(op, status)
+		return c.unexpectedReply(op, status)
 	}
 	switch answer.Code {
 	case platformapi.CodeConflict:
@@ -223,7 +223,7 @@
 	case platformapi.CodeTooLarge:
 		return store.ErrTooLarge
 	}
-	return c.unclear(op, status)
+	return c.unexpectedReply(op, status)
 }
 
 func (c *Client) decodeOK(op call, body []byte, out any) error {
@@ -231,13 +231,13 @@
 		return nil
 	}
 	if err := json.Unmarshal(body, out); err != nil {
-		return c.lost(op, true, err)
+		return c.classifyLost(op, true, err)
 	}
 	return nil
 }
 
-// unclear is an answer outside the platform's protocol, say of something in
-// between: a write may have taken effect behind it.
-func (c *Client) unclear(op call, status int) error {
-	return c.lost(op, true, fmt.Errorf("unexpected answer with status %d", status))
+// unexpectedReply handles a reply outside the platform's protocol, for example from an
+// intermediary such as a proxy: a write may have taken effect behind it.
+func (c *Client) unexpectedReply(op call, status int) error {
+	return c.classifyLost(op, true, fmt.Errorf("unexpected answer with status %d", status))
 }
--- a/internal/storeclient/client.go
+++ b/internal/storeclient/client.go
@@ -1,6 +1,6 @@
-// Package storeclient implements store.Store over the platform's HTTP API. It
-// keeps this instance's budget of calls, survives outages, and says exactly
-// whether a call that failed can have taken effect.
+// Package storeclient implements store.Store over the platform's HTTP API. It keeps
+// this instance's calls within its budget, copes with outages, and reports exactly
+// whether a failed call can have taken effect.
 package storeclient
 
 import (
@@ -30,7 +30,7 @@
 const (
 	callTimeout = 5 * time.Second
 	watchWait   = 25 * time.Second
-	// watchGrace is how much longer than its wait a watch may take before its
+	// watchGrace is added to a watch's wait to give its timeout, after which its
 	// connection counts as silent.
 	watchGrace = 5 * time.Second
 )
@@ -58,7 +58,7 @@
 	Metrics *metrics.Registry
 }
 
-// Client is the platform.
+// Client is a client of the platform.
 type Client struct {
 	clock     clock.Clock
 	logger    *event.Logger
@@ -68,46 +68,46 @@
 	preferred atomic.Uint64 // index of the endpoint that answered last
 	calls     atomic.Uint64
 
-	governorMu sync.Mutex // guards governor
-	governor   *governor
+	limiterMu sync.Mutex // guards limiter
+	limiter   *limiter
 
-	callsBy   *expvar.Map
-	shed      *expvar.Map
-	throttled *expvar.Int
-	failed    *expvar.Int
-	unknown   *expvar.Int
-	up        *expvar.Int
+	callsByKind *expvar.Map
+	shed        *expvar.Map
+	throttled   *expvar.Int
+	failed      *expvar.Int
+	unknown     *expvar.Int
+	up          *expvar.Int
 }
 
-// New returns a client. It makes no call yet.
+// New returns a client. It makes no calls yet.
 func New(opts Options) *Client {
 	if opts.Clock == nil {
 		opts.Clock = quartz.NewReal()
 	}
 	c := &Client{
-		clock:     opts.Clock,
-		logger:    opts.Logger,
-		token:     opts.Token,
-		endpoints: baseURLs(opts.Endpoints, opts.TLS != nil),
-		http:      &http.Client{Transport: newTransport(opts), CheckRedirect: noRedirect},
-		governor:  newGovernor(opts.Budget, opts.Seed),
-		callsBy:   opts.Metrics.Labelled(metricCalls),
-		shed:      opts.Metrics.Labelled(metricShed),
-		throttled: opts.Metrics.Counter(metricThrottled),
-		failed:    opts.Metrics.Counter(metricFailed),
-		unknown:   opts.Metrics.Counter(metricUnknown),
-		up:        opts.Metrics.Counter(metricUp),
+		clock:       opts.Clock,
+		logger:      opts.Logger,
+		token:       opts.Token,
+		endpoints:   baseURLs(opts.Endpoints, opts.TLS != nil),
+		http:        &http.Client{Transport: newTransport(opts), CheckRedirect: noRedirect},
+		limiter:     newLimiter(opts.Budget, opts.Seed),
+		callsByKind: opts.Metrics.Labelled(metricCalls),
+		shed:        opts.Metrics.Labelled(metricShed),
+		throttled:   opts.Metrics.Counter(metricThrottled),
+		failed:      opts.Metrics.Counter(metricFailed),
+		unknown:     opts.Metrics.Counter(metricUnknown),
+		up:          opts.Metrics.Counter(metricUp),
 	}
 	c.up.Set(1)
 	return c
 }
 
-// Up reports whether the platform is thought to answer. It is true until
-// several calls in a row have failed.
+// Up reports whether the platform is considered available. It is true until several
+// consecutive calls have failed.
 func (c *Client) Up() bool {
-	c.governorMu.Lock()
-	defer c.governorMu.Unlock()
-	return !c.governor.down
+	c.limiterMu.Lock()
+	defer c.limiterMu.Unlock()
+	return !c.limiter.down
 }
 
 // Calls returns how many calls were sent, counted as the platform does.
@@ -177,7 +177,7 @@
 	return c.call(ctx, call{kind: callWrite, method: http.MethodPost, path: platformapi.PathInstances, body: body}, nil)
 }
 
-// objectPath escapes each part of the key; the slashes between them stay.
+// objectPath escapes each segment of the key; the slashes between them stay.
 func objectPath(key string) string {
 	parts := strings.Split(key, "/")
 	for i, part := range parts {
--- a/internal/storeclient/client_test.go
+++ b/internal/storeclient/client_test.go
@@ -88,8 +88,8 @@
 	}
 }
 
-// brokenServer answers a first call on each connection and then closes it when
-// the next call has been read, as a platform instance that dies does.
+// brokenServer answers the first call on each connection, and closes the connection
+// once it has read the next call, as a platform instance that crashes does.
 func brokenServer(t *testing.T, puts *atomic.Int64) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -111,10 +111,10 @@
 	return listener.Addr().String()
 }
 
-// Symptom: a claim that was written is refused as held by its own writer, or a
-// profile change appears twice. Events: a kept connection breaks while a PUT is
-// under way; the transport sends it again on a new one. Cause: net/http repeats
-// what it takes for replayable.
+// Guards against a claim being refused as held by its own writer, and against a
+// profile change that appears twice. A reused connection breaks while a PUT is in
+// flight, and net/http's transport retries on a new connection what it considers
+// replayable.
 func TestPutIsNeverRepeated(t *testing.T) {
 	var puts atomic.Int64
 	c := clientOf(brokenServer(t, &puts))
@@ -130,8 +130,8 @@
 	}
 }
 
-// Symptom: a write is reported as not carried out and shows up later.
-// Cause: a lost reply is taken for a refusal.
+// Guards against reporting a write as not carried out that takes effect later, because
+// a lost reply was classified as a refusal.
 func TestClassification(t *testing.T) {
 	hang := make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -174,7 +174,7 @@
 	_ = dead.Close()
 	c := clientOf(dead.Addr().String())
 	if _, err := c.Put(t.Context(), "a", nil, 0); !errors.Is(err, store.ErrUnavailable) || errors.Is(err, store.ErrUnknown) {
-		t.Errorf("nobody listens: %v", err)
+		t.Errorf("no listener: %v", err)
 	}
 	both := clientOf(dead.Addr().String(), server.URL)
 	if _, err := both.Put(t.Context(), "down", nil, 0); both.Calls() != 2 || !errors.Is(err, store.ErrUnavailable) {
--- a/internal/storeclient/share_test.go
+++ b/internal/storeclient/share_test.go
@@ -13,7 +13,7 @@
 		writes, reads   float64
 	}{
 		{0, 0, 40, 150},
-		{1, 64, 40, 150}, // a single one takes no more than one of eight
+		{1, 64, 40, 150}, // a single instance gets no more than one of eight
 		{8, 8, 40, 150},
 		{16, 0, 20, 75},
 		{370, 0, 2, 5},
@@ -28,7 +28,7 @@
 }
 
 func TestChangedBudgetHoldsAtOnce(t *testing.T) {
-	g := newGovernor(DefaultBudget, 1)
+	g := newLimiter(DefaultBudget, 1)
 	g.setBudget(start, DefaultFleetBudget.Share(370, 0))
 	if n := admitted(g, start, 10*time.Second); n > 30 {
 		t.Errorf("%d writes in ten seconds under a share of 2 a second", n)
@@ -39,9 +39,9 @@
 	}
 }
 
-// admitted counts the writes that get through of an instance that asks for one
-// every millisecond.
-func admitted(g *governor, from time.Time, length time.Duration) (n int) {
+// admitted counts the admitted writes of an instance that attempts one every
+// millisecond.
+func admitted(g *limiter, from time.Time, length time.Duration) (n int) {
 	for now := from; now.Before(from.Add(length)); now = now.Add(time.Millisecond) {
 		if _, err := g.admit(now, callWrite, store.PriorityOperator); err == nil {
 			g.done(now, callWrite, false, resultOK)
@@ -51,11 +51,10 @@
 	return n
 }
 
-// Symptom: a fault that makes every instance write as fast as it may brings
-// the platform to a stop for all its users. Events: 370 instances, each with
-// the budget of one of eight. Cause: a budget that does not know how many
-// share the platform. The same test shows that owners of claim shards, who
-// write for the whole fleet, are not held up by an even share.
+// Guards against a fault that makes every instance write at its full rate and so
+// brings the platform to a stop for all its users, as with 370 instances that each have
+// the budget of one of eight. The test also checks that owners of claim shards, who
+// write for the whole fleet, are not limited by an even share.
 func TestLargeFleetSharesThePlatform(t *testing.T) {
 	const instances, shards = 370, 64
 	asked, shed := 0, 0
@@ -65,24 +64,24 @@
 			owned = 1
 		}
 		share := DefaultFleetBudget.Share(instances, owned)
-		asked += admitted(newGovernor(share, uint64(i)), start, 20*time.Second)
+		asked += admitted(newLimiter(share, uint64(i)), start, 20*time.Second)
 		if owned > 0 {
-			shed += shedClaims(newGovernor(share, uint64(i)), 20*time.Second)
+			shed += shedClaims(newLimiter(share, uint64(i)), 20*time.Second)
 		}
 	}
 	perSecond := float64(asked) / 20
-	t.Logf("all instances run away: %.0f writes/s; claim writes shed at owners: %d", perSecond, shed)
+	t.Logf("all instances at their full rate: %.0f writes/s; claim writes shed at owners: %d", perSecond, shed)
 	if perSecond > 1300 {
-		t.Errorf("%.0f writes a second when all instances run away", perSecond)
+		t.Errorf("%.0f writes a second when all instances write at their full rate", perSecond)
 	}
 	if shed > 0 {
 		t.Errorf("%d writes of claims were shed", shed)
 	}
 }
 
-// shedClaims counts the refused writes of an owner that writes claims every
-// 250 ms and renews a lease every three seconds.
-func shedClaims(g *governor, length time.Duration) (shed int) {
+// shedClaims counts the shed writes of an owner that writes claims every 250 ms and
+// renews a lease every three seconds.
+func shedClaims(g *limiter, length time.Duration) (shed int) {
 	for at := time.Duration(0); at < length; at += 250 * time.Millisecond {
 		now := start.Add(at)
 		if at%(3*time.Second) == 0 {
--- a/internal/storeclient/silent_test.go
+++ b/internal/storeclient/silent_test.go
@@ -9,11 +9,11 @@
 	"lynxhill.example/lynxhill/internal/standin/netfault"
 )
 
-// rested is how long a connection has not been used.
-const rested = 3 * time.Second
+// idleTime is how long the connection is idle before the second call.
+const idleTime = 3 * time.Second
 
-// Guards against a call that waits for its time limit on a connection that went silent while it
-// rested.
+// Guards against a call that waits for its timeout on a connection that went silent
+// while it was idle.
 func TestRestedConnectionIsNotUsed(t *testing.T) {
 	network := netfault.New()
 	t.Cleanup(network.Close)
@@ -30,10 +30,10 @@
 		t.Fatal(err)
 	}
 	network.Silence("platform")
-	time.Sleep(rested)
+	time.Sleep(idleTime)
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 	defer cancel()
 	if _, err := c.Get(ctx, "p/a"); err != nil {
-		t.Errorf("a call after %v without one: %v", rested, err)
+		t.Errorf("a call after %v without one: %v", idleTime, err)
 	}
 }
--- a/internal/storeclient/standin_test.go
+++ b/internal/storeclient/standin_test.go
@@ -50,7 +50,8 @@
 	}
 }
 
-// Claims over the whole way: two instances, a real connection, lost replies.
+// TestClaimsOverStandin makes claims from two instances over real connections, with lost
+// replies.
 func TestClaimsOverStandin(t *testing.T) {
 	server := newStandin(t)
 	server.LoseReplies(0.2)
@@ -66,7 +67,7 @@
 	var wg sync.WaitGroup
 	for n := range 200 {
 		wg.Go(func() {
-			key := fmt.Sprint(n / 2) // each key comes once to each instance
+			key := fmt.Sprint(n / 2) // each key is claimed once by each instance
 			answer, err := pages[n%2].Claim(t.Context(), claim.Request{
 				Key: claim.Key{Organisation: "o", Key: key, Stage: "s"}, BodyHash: "b", Deadline: time.Now().Add(30 * time.Second),
 			})
--- a/internal/storeclient/transport.go
+++ b/internal/storeclient/transport.go
@@ -12,15 +12,15 @@
 	dialTimeout  = 2 * time.Second
 	idlePerHost  = 8
 	connsPerHost = 32
-	// keepAlive is how long an unused connection is kept. One that rests may go silent
-	// unnoticed, and the next call on it would wait for its time limit.
-	keepAlive = 2 * time.Second
+	// idleTimeout is how long an unused connection is kept. An idle connection may
+	// go silent unnoticed, and the next call on it would wait for its timeout.
+	idleTimeout = 2 * time.Second
 )
 
-// newTransport returns a transport without HTTP/2, whose own retries could
-// not be told apart from ours. It accepts compressed answers: the instance list
-// of 972 entries is 160 KB plain, and instances that read it every two seconds
-// would spend five times their bytes for all of control on it.
+// newTransport returns a transport without HTTP/2, whose own retries could not be
+// distinguished from those of the client. It accepts compressed replies: the instance
+// list of 972 entries is 160 KB uncompressed, and instances that read it every two
+// seconds would use five times their byte budget for all control traffic on it.
 func newTransport(opts Options) *http.Transport {
 	dial := opts.Dial
 	if dial == nil {
@@ -34,13 +34,13 @@
 		TLSHandshakeTimeout: dialTimeout,
 		MaxIdleConnsPerHost: idlePerHost,
 		MaxConnsPerHost:     connsPerHost,
-		IdleConnTimeout:     keepAlive,
+		IdleConnTimeout:     idleTimeout,
 		Protocols:           protocols,
 	}
 }
 
-// noRedirect hands a redirect back as it is: following one would send a write
-// twice.
+// noRedirect returns a redirect to the caller instead of following it: following one
+// would send a write twice.
 func noRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
 func baseURLs(endpoints []string, secure bool) []string {
