--- a/internal/auth/auth.go
+++ b/internal/auth/auth.go
@@ -23,27 +23,29 @@
 type Options struct {
 	Tokens    Tokens        // from the settings
 	File      string        // token file whose entries are added; "" for none
-	PollEvery time.Duration // how often the file is looked at; 0 = 2 s
+	PollEvery time.Duration // how often the file is checked for changes; 0 = 2 s
 	Clock     clock.Clock   // nil = real time
 	Logger    *event.Logger
 }
 
-// Verifier knows the tokens. It is safe for concurrent use.
+// Verifier holds the tokens and checks headers against them. It is safe for
+// concurrent use.
 type Verifier struct {
 	opts Options
 
-	mu   sync.RWMutex // guards sets and seen
-	sets sets
-	seen filewatch.State
+	mu          sync.RWMutex // guards tables and loadedState
+	tables      tokenTables
+	loadedState filewatch.State
 }
 
-// New returns a verifier, or an error if a token or the file is unusable.
+// New returns a verifier, or an error if a token is invalid or the file cannot be
+// used.
 func New(opts Options) (*Verifier, error) {
 	v := &Verifier{opts: opts}
 	return v, v.Reload()
 }
 
-// Operator is who uses the admin API.
+// Operator is a user of the admin API.
 type Operator struct {
 	Name string
 	Role Role
@@ -57,7 +59,7 @@
 		return "", err
 	}
 	v.mu.RLock()
-	callers := v.sets.callers
+	callers := v.tables.callers
 	v.mu.RUnlock()
 	entry, found := callers.find(sha256.Sum256([]byte(token)))
 	if !found {
@@ -66,15 +68,15 @@
 	return entry.Organisation, nil
 }
 
-// Operator returns who holds the token in an Authorization header, or an error
-// of kind Unauthenticated.
+// Operator returns the holder of the token in an Authorization header, or an error of
+// kind Unauthenticated.
 func (v *Verifier) Operator(header string) (Operator, error) {
 	token, err := fromHeader(header)
 	if err != nil {
 		return Operator{}, err
 	}
 	v.mu.RLock()
-	operators := v.sets.operators
+	operators := v.tables.operators
 	v.mu.RUnlock()
 	entry, found := operators.find(sha256.Sum256([]byte(token)))
 	if !found {
@@ -94,8 +96,8 @@
 	return errkind.New(errkind.Unauthenticated, "the token is not known here")
 }
 
-// Reload reads the token file again. On an error the tokens stay as they were,
-// so that a half-written file locks nobody out.
+// Reload reads the token file again. On an error the current tokens stay in use, so
+// that a partly written file does not lock users out.
 func (v *Verifier) Reload() error {
 	all := v.opts.Tokens
 	state := v.files().State()
@@ -110,10 +112,10 @@
 	if err := all.Validate(); err != nil {
 		return err
 	}
-	fresh := newSets(all)
+	fresh := newTokenTables(all)
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.sets, v.seen = fresh, state
+	v.tables, v.loadedState = fresh, state
 	return nil
 }
 
@@ -130,7 +132,7 @@
 func (v *Verifier) used() filewatch.State {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
-	return v.seen
+	return v.loadedState
 }
 
 func (v *Verifier) reloaded(err error) {
@@ -141,14 +143,14 @@
 	v.opts.Logger.Log(event.TokensReloaded, "file", v.opts.File)
 }
 
-// sets holds the tokens by kind.
-type sets struct {
-	callers   table[CallerToken]
-	operators table[OperatorToken]
+// tokenTables holds the tokens by kind.
+type tokenTables struct {
+	callers   hashTable[CallerToken]
+	operators hashTable[OperatorToken]
 }
 
-func newSets(t Tokens) sets {
-	s := sets{callers: table[CallerToken]{}, operators: table[OperatorToken]{}}
+func newTokenTables(t Tokens) tokenTables {
+	s := tokenTables{callers: hashTable[CallerToken]{}, operators: hashTable[OperatorToken]{}}
 	for _, c := range t.Caller {
 		s.callers.add(c.Hash, c)
 	}
@@ -158,28 +160,28 @@
 	return s
 }
 
-// table holds entries by the first two bytes of the token's hash. Within such
-// a group all entries are compared, each in constant time. The time taken
-// tells at most how full a group is, which says nothing of a token, since
-// nobody can aim a token at a hash; and 19,000 organisations cost no more than
-// a few comparisons a request.
-type table[E any] map[[2]byte][]row[E]
+// hashTable holds entries grouped by the first two bytes of the token's hash. A lookup
+// compares all entries of one group, each in constant time. Its duration reveals at
+// most the size of a group, which tells nothing about a token, since it is not
+// feasible to choose a token for a given hash. With 19,000 organisations a request
+// costs only a few comparisons.
+type hashTable[E any] map[[2]byte][]hashEntry[E]
 
-type row[E any] struct {
+type hashEntry[E any] struct {
 	hash  digest
 	entry E
 }
 
-func (t table[E]) add(hash string, entry E) {
+func (t hashTable[E]) add(hash string, entry E) {
 	d, err := parseHash(hash)
 	if err != nil {
-		return // Validate refused it before
+		return // Validate has refused it before
 	}
 	group := [2]byte(d[:2])
-	t[group] = append(t[group], row[E]{hash: d, entry: entry})
+	t[group] = append(t[group], hashEntry[E]{hash: d, entry: entry})
 }
 
-func (t table[E]) find(d digest) (entry E, found bool) {
+func (t hashTable[E]) find(d digest) (entry E, found bool) {
 	for _, r := range t[[2]byte(d[:2])] {
 		if subtle.ConstantTimeCompare(r.hash[:], d[:]) == 1 {
 			entry, found = r.entry, true
--- a/internal/auth/auth_test.go
+++ b/internal/auth/auth_test.go
@@ -26,7 +26,7 @@
 func TestTokensLeadToTheirHolders(t *testing.T) {
 	var tokens Tokens
 	var texts []string
-	for i := range 300 { // enough for groups of several
+	for i := range 300 { // enough for several tokens in one group
 		token, hash := NewToken()
 		texts = append(texts, token)
 		tokens.Caller = append(tokens.Caller, CallerToken{Hash: hash, Organisation: string(rune('a' + i))})
@@ -39,17 +39,17 @@
 	}
 	for i, token := range texts {
 		if got, err := v.Caller("Bearer " + token); err != nil || got != string(rune('a'+i)) {
-			t.Fatalf("token %d leads to %q, %v", i, got, err)
+			t.Fatalf("token %d belongs to %q, %v", i, got, err)
 		}
 	}
 	if got, err := v.Operator("bearer " + operatorToken); err != nil || got != (Operator{Name: "amel", Role: RoleViewer}) {
 		t.Fatalf("%v, %v", got, err)
 	}
 	if _, err := v.Operator("Bearer " + texts[0]); !errkind.Is(err, errkind.Unauthenticated) {
-		t.Fatalf("a caller's token was taken for an operator's: %v", err)
+		t.Fatalf("a caller's token was accepted as an operator's: %v", err)
 	}
 	if _, err := v.Caller("Bearer " + operatorToken); !errkind.Is(err, errkind.Unauthenticated) {
-		t.Fatalf("an operator's token was taken for a caller's: %v", err)
+		t.Fatalf("an operator's token was accepted as a caller's: %v", err)
 	}
 }
 
@@ -66,7 +66,8 @@
 	}
 }
 
-// A hash that two bytes share with a token must not let it in.
+// A token whose hash shares only its first two bytes with a known hash must not be
+// accepted.
 func TestAHashOfTheSameGroupIsNotEnough(t *testing.T) {
 	token, hash := NewToken()
 	near := hash[:4] + strings.Repeat("0", len(hash)-4)
@@ -79,9 +80,9 @@
 	}
 }
 
-// Symptom: a new organisation is refused until its instances are restarted, or
-// a half-written file locks everybody out. Events: the token file is replaced,
-// then damaged, then mended. Cause: a file that is read once, or taken as it is.
+// Guards against a new organisation being refused until the instances are restarted,
+// and against a partly written file locking all users out. The token file is
+// replaced, then damaged, then repaired.
 func TestTheTokenFileIsReadAgain(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "tokens.toml")
 	first, firstHash := NewToken()
@@ -117,7 +118,7 @@
 		pass()
 		pass()
 		if !knows(second) {
-			t.Fatal("a damaged file locked everybody out")
+			t.Fatal("a damaged file locked all users out")
 		}
 		if n := strings.Count(written.String(), "tokens_unusable"); n != 1 {
 			t.Fatalf("a damaged file was logged %d times: %s", n, &written)
@@ -125,7 +126,7 @@
 		callerFile(t, path, firstHash, "a third organisation")
 		pass()
 		if !knows(first) || knows(second) {
-			t.Fatal("the mended file was not read")
+			t.Fatal("the repaired file was not read")
 		}
 		if strings.Contains(written.String(), first) || strings.Contains(written.String(), firstHash) {
 			t.Fatalf("the log holds a token: %s", &written)
@@ -133,19 +134,19 @@
 	})
 }
 
-// Symptom: a caller's requests count for another organisation. Events: one
-// hash stands in the settings and in the file, or twice in one of them.
+// Guards against requests being attributed to the wrong organisation because one hash
+// is in the settings and in the file, or twice in one of them.
 func TestAHashThatStandsTwiceIsRefused(t *testing.T) {
 	_, hash := NewToken()
 	path := filepath.Join(t.TempDir(), "tokens.toml")
 	callerFile(t, path, strings.ToUpper(hash), "other")
 	inSettings := Tokens{Caller: []CallerToken{{Hash: hash, Organisation: "acme"}}}
 	if _, err := New(Options{Tokens: inSettings, File: path}); err == nil {
-		t.Error("a hash of settings and file was accepted")
+		t.Error("a hash that is in the settings and in the file was accepted")
 	}
 	twice := Tokens{Operator: []OperatorToken{{Hash: hash, Name: "a", Role: RoleViewer}, {Hash: hash, Name: "b", Role: RoleOperator}}}
 	if _, err := New(Options{Tokens: twice}); err == nil || !strings.Contains(err.Error(), "operator[1].hash") {
-		t.Errorf("a hash of two operators: %v", err)
+		t.Errorf("a duplicate hash of two operators: %v", err)
 	}
 }
 
--- a/internal/auth/token.go
+++ b/internal/auth/token.go
@@ -8,12 +8,12 @@
 	"fmt"
 )
 
-// tokenBytes is the entropy of a token. With this much, a fast hash is enough
-// to keep it: nobody can try 2^256 tokens.
+// tokenBytes is the length of a token in random bytes. With this much entropy a fast
+// hash is enough: trying 2^256 tokens is not feasible.
 const tokenBytes = 32
 
-// NewToken returns a new random token and the hash that the settings hold.
-// The token itself is not kept anywhere.
+// NewToken returns a new random token and the hash of it for the settings. The token
+// itself is not stored anywhere.
 func NewToken() (token, hash string) {
 	raw := make([]byte, tokenBytes)
 	_, _ = rand.Read(raw) // never fails, see crypto/rand
@@ -21,7 +21,7 @@
 	return token, Hash(token)
 }
 
-// Hash returns the form in which a token is kept: SHA-256 in hexadecimal.
+// Hash returns the form in which a token is stored: SHA-256 in hexadecimal.
 func Hash(token string) string {
 	sum := sha256.Sum256([]byte(token))
 	return hex.EncodeToString(sum[:])
--- a/internal/auth/tokens.go
+++ b/internal/auth/tokens.go
@@ -18,13 +18,13 @@
 	RoleOperator Role = "operator" // reads and changes everything
 )
 
-// CallerToken lets its holder send requests of one organisation.
+// CallerToken allows its holder to send requests of one organisation.
 type CallerToken struct {
 	Hash         string `toml:"hash"`
 	Organisation string `toml:"organisation"`
 }
 
-// OperatorToken lets its holder use the admin API under a name, which is
+// OperatorToken allows its holder to use the admin API under a name, which is
 // written to the audit events.
 type OperatorToken struct {
 	Hash string `toml:"hash"`
@@ -32,40 +32,40 @@
 	Role Role   `toml:"role"`
 }
 
-// Tokens is a set of tokens, as it stands in the settings or in a token file.
+// Tokens is a set of tokens, as it is written in the settings or in a token file.
 type Tokens struct {
 	Caller   []CallerToken   `toml:"caller"`
 	Operator []OperatorToken `toml:"operator"`
 }
 
-// Validate returns an error that names the first unusable entry.
+// Validate returns an error that names the first invalid entry.
 func (t Tokens) Validate() error {
 	callers, operators := make(map[string]int), make(map[string]int)
 	for i, c := range t.Caller {
-		if err := firstOf(c.validate(), once(callers, c.Hash, i)); err != nil {
+		if err := firstError(c.validate(), checkUnique(callers, c.Hash, i)); err != nil {
 			return fmt.Errorf("caller[%d].%w", i, err)
 		}
 	}
 	for i, o := range t.Operator {
-		if err := firstOf(o.validate(), once(operators, o.Hash, i)); err != nil {
+		if err := firstError(o.validate(), checkUnique(operators, o.Hash, i)); err != nil {
 			return fmt.Errorf("operator[%d].%w", i, err)
 		}
 	}
 	return nil
 }
 
-// once refuses a hash that stands twice: the token would belong to two
-// organisations or names, and which one it is taken for would be chance.
-func once(seen map[string]int, hash string, i int) error {
+// checkUnique refuses a duplicate hash: the token would belong to two organisations
+// or names, and it would be arbitrary which one it is attributed to.
+func checkUnique(seen map[string]int, hash string, i int) error {
 	hash = strings.ToLower(hash)
 	if first, twice := seen[hash]; twice {
-		return fmt.Errorf("hash: is that of entry %d too", first)
+		return fmt.Errorf("hash: duplicates the hash of entry %d", first)
 	}
 	seen[hash] = i
 	return nil
 }
 
-func firstOf(errs ...error) error {
+func firstError(errs ...error) error {
 	for _, err := range errs {
 		if err != nil {
 			return err
