--- a/internal/tlsconf/tlsconf.go
+++ b/internal/tlsconf/tlsconf.go
@@ -1,6 +1,6 @@
-// Package tlsconf makes TLS configurations whose certificate, key and CA are
-// read again from file when they change, so that no instance has to be
-// restarted for a new certificate. Between instances TLS is mutual.
+// Package tlsconf makes TLS configurations whose certificate, key and CA files are
+// read again when they change, so that no instance has to be restarted for a new
+// certificate. Between instances TLS is mutual.
 package tlsconf
 
 import (
@@ -18,15 +18,15 @@
 	"lynxhill.example/lynxhill/internal/filewatch"
 )
 
-// Options of a Reloader. File names are of PEM files.
+// Options of a Reloader. The files are PEM files.
 type Options struct {
 	Name     string // of the listener, for the log
 	CertFile string
 	KeyFile  string
-	// ClientCAFile holds the CA whose certificates the other end has to show;
-	// "" = clients need none.
+	// ClientCAFile holds the CA that must have signed the peer's certificate; ""
+	// means that clients need no certificate.
 	ClientCAFile string
-	PollEvery    time.Duration // how often the files are looked at; 0 = 2 s
+	PollEvery    time.Duration // how often the files are checked for changes; 0 = 2 s
 	Clock        clock.Clock   // nil = real time
 	Logger       *event.Logger
 }
@@ -35,24 +35,24 @@
 type Reloader struct {
 	opts Options
 
-	mu      sync.RWMutex // guards current and seen
-	current material
-	seen    filewatch.State
+	mu          sync.RWMutex // guards current and loadedState
+	current     material
+	loadedState filewatch.State
 }
 
-// material is what the files hold.
+// material is the content of the files.
 type material struct {
 	certificate *tls.Certificate
 	pool        *x509.CertPool // nil without a CA
 }
 
-// New reads the files; an unusable one is an error.
+// New reads the files. It returns an error if one cannot be used.
 func New(opts Options) (*Reloader, error) {
 	r := &Reloader{opts: opts}
 	return r, r.Reload()
 }
 
-// Reload reads the files again. On an error the old material stays in use.
+// Reload reads the files again. On an error the previous content stays in use.
 func (r *Reloader) Reload() error {
 	state := r.files().State()
 	fresh, err := read(r.opts)
@@ -61,7 +61,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.current, r.seen = fresh, state
+	r.current, r.loadedState = fresh, state
 	return nil
 }
 
@@ -100,7 +100,7 @@
 func (r *Reloader) used() filewatch.State {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
-	return r.seen
+	return r.loadedState
 }
 
 func (r *Reloader) reloaded(err error) {
@@ -117,8 +117,9 @@
 	return r.current
 }
 
-// ServerConfig returns the configuration of a listener. Each handshake uses
-// the current files; connections that stand keep what they began with.
+// ServerConfig returns the configuration of a listener. Each handshake uses the
+// current files; established connections keep the certificate and CA that they
+// started with.
 func (r *Reloader) ServerConfig() *tls.Config {
 	protocols := []string{"h2", "http/1.1"}
 	return &tls.Config{
@@ -143,11 +144,11 @@
 // errNoCA is returned for a client configuration without a CA file.
 var errNoCA = errors.New("a client configuration needs a CA file")
 
-// ClientConfig returns the configuration for connections to other instances:
-// it shows the own certificate and accepts servers of the same CA. Instances
-// are known by IP numbers that change with every replacement, so that the name
-// in the certificate says nothing; the CA must be one that signs instances
-// only.
+// ClientConfig returns the configuration for connections to other instances. It
+// presents the instance's own certificate and accepts servers whose certificates the
+// same CA signed. Instances are addressed by IP addresses that change with every
+// replacement, so the name in the certificate is not checked; the CA must sign
+// certificates of instances only.
 func (r *Reloader) ClientConfig() (*tls.Config, error) {
 	if r.opts.ClientCAFile == "" {
 		return nil, errNoCA
@@ -158,15 +159,15 @@
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
 			return r.material().certificate, nil
 		},
-		// The library's own check insists on a name and on a fixed CA pool;
+		// The standard verification requires a name and a fixed CA pool.
 		// VerifyConnection below checks the chain against the current pool.
 		InsecureSkipVerify: true, //nolint:gosec // replaced by VerifyConnection
 		VerifyConnection:   r.verifyServer,
 	}, nil
 }
 
-// verifyServer checks the chain of the other end. It also runs for resumed
-// sessions, so that a withdrawn CA holds for them too.
+// verifyServer verifies the certificate chain of the server. It also runs for resumed
+// sessions, so that a revoked CA is no longer accepted there either.
 func (r *Reloader) verifyServer(state tls.ConnectionState) error {
 	if len(state.PeerCertificates) == 0 {
 		return errors.New("the other end showed no certificate")
--- a/internal/tlsconf/tlsconf_test.go
+++ b/internal/tlsconf/tlsconf_test.go
@@ -17,7 +17,7 @@
 	"time"
 )
 
-// authority is a CA made for a test.
+// authority is a test CA.
 type authority struct {
 	certificate *x509.Certificate
 	key         *ecdsa.PrivateKey
@@ -67,7 +67,7 @@
 	return files{filepath.Join(dir, "cert.pem"), filepath.Join(dir, "key.pem"), filepath.Join(dir, "ca.pem")}
 }
 
-// issue writes a new certificate and key of the CA.
+// issue writes a new key and a certificate that the CA signed.
 func (f files) issue(t *testing.T, ca authority, name string) {
 	t.Helper()
 	key := newKey(t)
@@ -110,7 +110,8 @@
 	return r
 }
 
-// instance returns the files and reloader of an instance of the CA.
+// instance returns the files and the reloader of an instance with a certificate of the
+// CA.
 func instance(t *testing.T, ca authority, name string) (files, *Reloader) {
 	t.Helper()
 	f := newFiles(t)
@@ -119,8 +120,8 @@
 	return f, f.reloader(t, true)
 }
 
-// handshake connects client to server; it returns the name that the client
-// saw and the errors of both ends.
+// handshake connects client to server. It returns the name in the certificate that the
+// client received, and the errors of both ends.
 func handshake(t *testing.T, server, client *tls.Config) (name string, serverErr, clientErr error) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -150,7 +151,7 @@
 	clientErr = conn.Handshake()
 	if clientErr == nil {
 		name = conn.ConnectionState().PeerCertificates[0].Subject.CommonName
-		_, clientErr = conn.Read(make([]byte, 1)) // TLS 1.3: a refusal of the client's certificate shows here
+		_, clientErr = conn.Read(make([]byte, 1)) // TLS 1.3 reports a rejected client certificate here
 	}
 	_ = b.Close()
 	return name, <-serverDone, clientErr
@@ -175,33 +176,33 @@
 	}
 }
 
-// Symptom: something that is no instance takes part in the instances' calls.
+// Guards against connections between instances and processes without a certificate of
+// their CA.
 func TestStrangersAreRefusedByBothEnds(t *testing.T) {
 	ours, theirs := newAuthority(t, "ours"), newAuthority(t, "theirs")
 	_, insider := instance(t, ours, "insider")
 	strangerFiles := newFiles(t)
 	strangerFiles.issue(t, theirs, "stranger")
-	strangerFiles.trust(t, ours) // knows our CA, has no certificate of it
+	strangerFiles.trust(t, ours) // trusts our CA but has no certificate signed by it
 	stranger := strangerFiles.reloader(t, true)
 	if _, serverErr, _ := handshake(t, insider.ServerConfig(), clientConfig(t, stranger)); serverErr == nil {
-		t.Error("a client of another CA was let in")
+		t.Error("a client of another CA was accepted")
 	}
-	nobody := &tls.Config{InsecureSkipVerify: true}
-	if _, serverErr, _ := handshake(t, insider.ServerConfig(), nobody); serverErr == nil {
-		t.Error("a client without a certificate was let in")
+	noCertificate := &tls.Config{InsecureSkipVerify: true}
+	if _, serverErr, _ := handshake(t, insider.ServerConfig(), noCertificate); serverErr == nil {
+		t.Error("a client without a certificate was accepted")
 	}
 	open := strangerFiles.reloader(t, false)
 	if _, _, clientErr := handshake(t, open.ServerConfig(), clientConfig(t, insider)); clientErr == nil {
-		t.Error("a server of another CA was trusted")
+		t.Error("a server of another CA was accepted")
 	}
 }
 
-// Symptom: calls fail when the certificates expire, though new ones lie in
-// place. Events: files are replaced, one of them damaged for a while. Cause:
-// files that are read once.
+// Guards against calls failing when certificates expire although new ones have been
+// installed. The files are replaced, and one of them is damaged for a while.
 func TestReplacedFilesAreUsed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ca := newAuthority(t, "ca") // inside, since its dates are of virtual time
+		ca := newAuthority(t, "ca") // created inside the bubble, since its dates are of virtual time
 		f := newFiles(t)
 		f.issue(t, ca, "old")
 		f.trust(t, ca)
@@ -230,12 +231,12 @@
 		}
 		f.issue(t, ca, "the newest of all")
 		if got := seen(); got != "the newest of all" {
-			t.Fatalf("certificate %q after the file was mended", got)
+			t.Fatalf("certificate %q after the file was repaired", got)
 		}
 	})
 }
 
-// Symptom: a withdrawn CA goes on being trusted until the next restart.
+// Guards against a revoked CA being trusted until the next restart.
 func TestAReplacedCAHoldsForBothEnds(t *testing.T) {
 	old, fresh := newAuthority(t, "old"), newAuthority(t, "fresh")
 	serverFiles, server := instance(t, old, "server")
@@ -246,7 +247,7 @@
 		t.Fatal(err)
 	}
 	if _, serverErr, _ := handshake(t, serverCfg, clientCfg); serverErr == nil {
-		t.Error("the server let in a client of the withdrawn CA")
+		t.Error("the server accepted a client of the revoked CA")
 	}
 	serverFiles.trust(t, old)
 	if err := server.Reload(); err != nil {
@@ -257,7 +258,7 @@
 		t.Fatal(err)
 	}
 	if _, _, clientErr := handshake(t, serverCfg, clientCfg); clientErr == nil {
-		t.Error("the client trusted a server of the withdrawn CA")
+		t.Error("the client accepted a server of the revoked CA")
 	}
 }
 
@@ -272,6 +273,6 @@
 		t.Error("a CA file without certificate was accepted")
 	}
 	if _, err := f.reloader(t, false).ClientConfig(); err == nil {
-		t.Error("a client configuration without CA was made")
+		t.Error("a client configuration without CA was created")
 	}
 }
