--- a/internal/daemon/budget.go
+++ b/internal/daemon/budget.go
@@ -10,10 +10,12 @@
 	"lynxhill.example/lynxhill/internal/storeclient"
 )
 
-// budgetEvery is how often the share of the platform's budget is looked at.
+// budgetEvery is the interval at which this instance recomputes its share of the
+// platform's budget.
 const budgetEvery = time.Second
 
-// fleetBudget is what all instances together may ask of the platform.
+// fleetBudget returns the rate limits and the number of watches that the platform
+// grants: the rates to all instances together, the watches to each.
 func (d *Daemon) fleetBudget() storeclient.Budget {
 	settings := d.cfg.Platform
 	return storeclient.Budget{
@@ -23,8 +25,8 @@
 	}
 }
 
-// shareBudget keeps the platform's client at this instance's share of the
-// budget as instances come and go.
+// shareBudget updates the rate limits of the platform client to this instance's
+// share of the budget whenever the set of live instances changes.
 func (d *Daemon) shareBudget(ctx context.Context) {
 	var known []string
 	for loop.Sleep(ctx, d.opts.Clock, budgetEvery) {
@@ -37,8 +39,8 @@
 	}
 }
 
-// ownedShards counts the shards of claims that an instance is the preferred
-// owner of.
+// ownedShards returns the number of claim shards of which an instance is the
+// preferred owner.
 func ownedShards(self string, members []string, shards int) int {
 	owned := 0
 	for shard := range shards {
--- a/internal/daemon/budget_test.go
+++ b/internal/daemon/budget_test.go
@@ -8,8 +8,9 @@
 	"lynxhill.example/lynxhill/internal/config"
 )
 
-// Symptom: owners of claim shards are refused by their own budget. Events: the
-// instances count other owners than they forward to. Cause: two ways to rank.
+// Guards against owners of claim shards that exceed their share of the budget because
+// instances count other owners than those they forward claims to, by a different
+// ranking.
 func TestOwnedShardsAreThoseThatClaimsGoTo(t *testing.T) {
 	const shards = 64
 	d := &Daemon{board: board.New(), cfg: config.Config{Instance: config.Instance{ID: "i-0"}}}
--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -17,12 +17,12 @@
 	"lynxhill.example/lynxhill/internal/membership"
 )
 
-// assembleControl makes the controllers. They meet only on the board.
+// assembleControl creates the controllers. They share state only through the board.
 func (d *Daemon) assembleControl() {
 	d.assembleMembership()
 	d.assembleTargetControl()
 	d.assembleOperatorControl()
-	// The loads come last: they take what room the others leave in a digest.
+	// The loads are last: they fill the space that the others leave in a digest.
 	for _, part := range []gossip.Part{d.profiles, d.discovery, d.limits, d.guard, d.slo.Gossip(), d.loads} {
 		d.members.AddPart(part)
 	}
@@ -44,15 +44,15 @@
 }
 
 func (d *Daemon) assembleTargetControl() {
-	clk, place, region := d.opts.Clock, d.cfg.Instance.Place, d.cfg.Instance.Region
+	clk, zone, region := d.opts.Clock, d.cfg.Instance.Place, d.cfg.Instance.Region
 	d.discovery = discovery.New(discovery.Options{
 		Lister: d.platform, Board: d.board, Clock: clk, Rand: d.rand(), Logger: d.logger, Metrics: d.metrics,
-		Self: d.id(), Place: place, Hurry: d.members.Hurry, Peers: d.peers,
+		Self: d.id(), Place: zone, Hurry: d.members.Hurry, Peers: d.peers,
 	})
 	d.loads = loadview.New(loadview.Options{
 		Caller: reach.Observing(d.targets, d.reach),
 		Board:  d.board, Clock: clk, Rand: d.rand(), Logger: d.logger, Metrics: d.metrics,
-		Self: d.id(), Place: place, Region: region,
+		Self: d.id(), Place: zone, Region: region,
 	})
 	d.leases = lease.NewManager(lease.Options{
 		Store: d.platform, Board: d.board, Clock: clk, Boot: d.opts.Boot, Rand: d.rand(),
@@ -80,7 +80,7 @@
 	})
 }
 
-// self is this instance as others are told of it.
+// self returns the member entry that this instance announces to the others.
 func (d *Daemon) self() board.Member {
 	return board.Member{
 		ID:         d.id(),
@@ -101,16 +101,17 @@
 	return listening
 }
 
-// controllers are run until the parts are stopped.
+// controllers returns the background loops that Run starts and stops.
 func (d *Daemon) controllers() []func(context.Context) {
 	return []func(context.Context){
 		d.auth.Run, d.tls.run, d.members.Run, d.profiles.Run, d.discovery.Run, d.loads.Run, d.leases.Run,
-		d.orders.Run, d.steering.Run, d.drains.Run, d.limits.Run, d.pages.Run, d.slo.Run, d.reach.Run, d.tellLoad, d.shareBudget,
+		d.orders.Run, d.steering.Run, d.drains.Run, d.limits.Run, d.pages.Run, d.slo.Run, d.reach.Run, d.reportLoad, d.shareBudget,
 	}
 }
 
-// tellLoad keeps membership informed of this instance's room.
-func (d *Daemon) tellLoad(ctx context.Context) {
+// reportLoad reports the free share of this instance's admission limit and its
+// requests in flight to membership every loadEvery.
+func (d *Daemon) reportLoad(ctx context.Context) {
 	ticker := d.opts.Clock.NewTicker(loadEvery)
 	defer ticker.Stop()
 	for {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -43,7 +43,7 @@
 	logger  *event.Logger
 	metrics *metrics.Registry
 	started time.Time
-	seeds   *mathrand.Rand // used by New alone
+	seeds   *mathrand.Rand // seeds the sources of the components; used only by New
 
 	auth  *auth.Verifier
 	tls   tlsParts
@@ -99,7 +99,7 @@
 		killed:  make(chan struct{}),
 	}
 	d.check = d.newChecker()
-	if err := d.openEdges(); err != nil {
+	if err := d.openIO(); err != nil {
 		d.net.close()
 		return nil, err
 	}
@@ -112,8 +112,9 @@
 	return d, nil
 }
 
-// openEdges makes all that does I/O.
-func (d *Daemon) openEdges() error {
+// openIO creates the components that do I/O: token and certificate readers,
+// listeners, and the clients of the platform, the targets and the other instances.
+func (d *Daemon) openIO() error {
 	var err error
 	if d.auth, err = auth.New(auth.Options{
 		Tokens:    d.cfg.Tokens.Set(),
@@ -155,10 +156,10 @@
 	return nil
 }
 
-// id is the name of this instance.
+// id returns the id of this instance.
 func (d *Daemon) id() string { return d.cfg.Instance.ID }
 
-// rand returns a seeded source for one part.
+// rand returns a new seeded source for one component.
 func (d *Daemon) rand() *mathrand.Rand {
 	return mathrand.New(mathrand.NewPCG(d.seeds.Uint64(), d.seeds.Uint64()))
 }
@@ -168,32 +169,33 @@
 	return d.board.Profiles.Get(name)
 }
 
-// peerAddress finds an instance's peer listener.
+// peerAddress returns the address of an instance's peer listener.
 func (d *Daemon) peerAddress(instance string) (string, bool) {
 	m, ok := d.board.Members.Get(instance)
 	return m.PeerAddr, ok && m.PeerAddr != ""
 }
 
-// CallerAddr, AdminAddr and PeerAddr are the addresses listened on.
+// CallerAddr returns the address on which the caller API listens.
 func (d *Daemon) CallerAddr() string { return d.net.caller.Addr().String() }
 
-// AdminAddr is the address of the admin API.
+// AdminAddr returns the address on which the admin API listens.
 func (d *Daemon) AdminAddr() string { return d.net.admin.Addr().String() }
 
-// PeerAddr is the address of the peer API.
+// PeerAddr returns the address on which the peer API listens.
 func (d *Daemon) PeerAddr() string { return d.net.peer.Addr().String() }
 
-// Board is the instance's blackboard, for the bench.
+// Board returns the instance's board, for the benchmark.
 func (d *Daemon) Board() *board.Board { return d.board }
 
-// Metrics is the instance's metrics, for the bench.
+// Metrics returns the instance's metrics, for the benchmark.
 func (d *Daemon) Metrics() *metrics.Registry { return d.metrics }
 
-// Platform is the instance's client of the platform, for the bench.
+// Platform returns the instance's client of the platform, for the benchmark.
 func (d *Daemon) Platform() *storeclient.Client { return d.platform }
 
-// newChecker asserts invariants; violations are counted for the status and
-// told to the recorder of the options, or counted and logged.
+// newChecker returns a checker of invariants. It counts violations for the status
+// and passes them to the recorder of the options; without one they are counted in
+// the metrics and logged.
 func (d *Daemon) newChecker() *invariant.Checker {
 	next := d.opts.Violations
 	if next == nil {
@@ -203,10 +205,10 @@
 	return invariant.New(d.violations)
 }
 
-// ticketSecret is where tickets get their signing key from.
+// ticketSecret is the source of the signing key of tickets.
 var ticketSecret = rand.Reader
 
-// errNoPlatform is returned for settings without an endpoint.
+// errNoPlatform is the error for settings without an endpoint.
 var errNoPlatform = errors.New("platform.endpoints: must name at least one endpoint")
 
 func kilobytes(kb int) int64 { return int64(kb) << 10 }
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -22,7 +22,7 @@
 	"lynxhill.example/lynxhill/internal/wire/targetapi"
 )
 
-// deployment is a small one of stand-ins, with instances on loopback.
+// deployment is a small deployment of stand-ins with instances on loopback.
 type deployment struct {
 	fleet    *fleet.Deployment
 	tokens   auth.Tokens
@@ -50,7 +50,8 @@
 
 const (
 	testOrganisation = "desk"
-	// testDeadline is that of all profiles: no test waits for it.
+	// testDeadline is the deadline of all profiles. It is long enough that no test
+	// waits for it.
 	testDeadline = time.Minute
 )
 
@@ -61,17 +62,17 @@
 	ended chan error
 }
 
-func (d *deployment) start(t *testing.T, id string, place int, output io.Writer) *running {
+func (d *deployment) start(t *testing.T, id string, zone int, output io.Writer) *running {
 	t.Helper()
 	cfg := config.Default()
-	cfg.Instance = config.Instance{ID: id, Place: d.fleet.Places[place], Region: d.fleet.Region}
+	cfg.Instance = config.Instance{ID: id, Place: d.fleet.Places[zone], Region: d.fleet.Region}
 	cfg.Listen = config.Listen{Caller: "127.0.0.1:0", Admin: "127.0.0.1:0", Peer: "127.0.0.1:0"}
 	cfg.Platform.Endpoints = []string{"http://" + d.fleet.Platform.Addr()}
 	cfg.Tokens.Caller, cfg.Tokens.Operator = d.tokens.Caller, d.tokens.Operator
 	cfg.Timings.Keep = config.Of(50 * time.Millisecond)
 	cfg.Timings.PeerHeartbeat = config.Of(50 * time.Millisecond)
 	cfg.Timings.StopGrace = config.Of(d.grace)
-	options := Options{Seed: 1 + uint64(place)}
+	options := Options{Seed: 1 + uint64(zone)}
 	if output != nil {
 		options.Logger = event.NewLogger(log.NewLogfmtLogger(log.NewSyncWriter(output)))
 	}
@@ -89,7 +90,8 @@
 	return r
 }
 
-// await polls until the condition holds; only a test that hangs ends by time.
+// await polls until the condition holds. The limit of a minute only ends a test that
+// hangs.
 func await(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for limit := time.Now().Add(time.Minute); !holds(); time.Sleep(5 * time.Millisecond) {
@@ -119,15 +121,16 @@
 	}
 }
 
-// callerOf sends every request once, to the instance of its own place.
+// callerOf returns a caller in the instance's zone that sends every request once, to
+// that instance.
 func (d *deployment) callerOf(r *running) *client.Caller {
 	return client.NewCaller(client.CallerOptions{
 		Servers: []string{r.CallerAddr()}, Token: d.caller, Place: r.cfg.Instance.Place, Region: d.fleet.Region, MaxAttempts: 1,
 	})
 }
 
-// sendWithoutKey sends a request as a caller does that will not send it again:
-// the instance makes its key. The answer is thrown away.
+// sendWithoutKey sends a request without an idempotency key, as a caller does that
+// will not send it again; the instance generates the key. The response is discarded.
 func (d *deployment) sendWithoutKey(ctx context.Context, to *running, profile string) {
 	body, _ := json.Marshal(lynxapi.SendRequest{Organisation: testOrganisation, Input: testInput("two lines")})
 	url := "http://" + to.CallerAddr() + strings.Replace(lynxapi.PathRequests, ":profile", profile, 1)
@@ -141,7 +144,7 @@
 	}
 }
 
-// runOf returns the only run of a stage.
+// runOf returns the first recorded run of a stage; the tests run each stage once.
 func (d *deployment) runOf(stage string) (targetapi.RunRecord, bool) {
 	for _, run := range d.fleet.Runs() {
 		if run.Stage == stage {
@@ -152,6 +155,6 @@
 }
 
 func testInput(text string) json.RawMessage {
-	raw, _ := json.Marshal(text) // a string always can be
+	raw, _ := json.Marshal(text) // never fails for a string
 	return raw
 }
--- a/internal/daemon/handler.go
+++ b/internal/daemon/handler.go
@@ -24,11 +24,11 @@
 }
 
 // Address implements callerapi.Handler. An instance that cannot confirm its
-// configuration does not answer: cut off with a few others, it would send
-// callers to those alone.
+// configuration returns an error: cut off together with a few others, it would
+// direct callers only to those.
 func (d *Daemon) Address(_ context.Context, q callerapi.AddressQuestion) (lynxapi.AddressAnswer, error) {
 	if self, _ := d.board.Self.Get(board.SelfRow); !self.MayAdmit() {
-		return lynxapi.AddressAnswer{}, errkind.New(errkind.Isolated, "%s; ask another", isolation(self))
+		return lynxapi.AddressAnswer{}, errkind.New(errkind.Isolated, "%s; try another instance", isolation(self))
 	}
 	answer := d.steering.Answer(q.Place, q.Region)
 	ticket, expires := d.tickets.Issue()
@@ -39,7 +39,7 @@
 	return answer, nil
 }
 
-// isolation says why an instance takes no work.
+// isolation returns the reason why an instance accepts no work.
 func isolation(self board.Self) string {
 	if self.CutOff {
 		return "this instance reaches none of its targets"
@@ -59,8 +59,8 @@
 	return nil
 }
 
-// Outcome implements callerapi.Handler: what this instance knows, else what
-// the claims record, else what the holder of the claim knows.
+// Outcome implements callerapi.Handler. It looks in the outcomes of this instance,
+// then in the claims, and then asks the instance that holds the claim.
 func (d *Daemon) Outcome(ctx context.Context, key outcome.Key) (lynxapi.OutcomeReply, error) {
 	if record, found := d.outcomes.Lookup(key); found {
 		return replyOf(key, record), nil
@@ -68,7 +68,7 @@
 	if d.outcomes.Running(key) {
 		return lynxapi.OutcomeReply{Key: key.Key, State: lynxapi.OutcomeRunning}, nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, outcomeWait)
+	ctx, cancel := context.WithTimeout(ctx, outcomeTimeout)
 	defer cancel()
 	if reply, found, err := d.claimedOutcome(ctx, key); found || err != nil {
 		return reply, err
@@ -76,14 +76,14 @@
 	return lynxapi.OutcomeReply{Key: key.Key, State: lynxapi.OutcomeNoRecord}, nil
 }
 
-// outcomeWait bounds a question that the store or the holder of a claim has to
-// answer. During an outage, or when the holder is frozen, there is no answer,
-// and the caller would spend the rest of its deadline on the question and end
-// with the broken connection that made it ask. Told after a part of a short
-// deadline, it can send the request again, and gets an answer of its own kind.
-const outcomeWait = 500 * time.Millisecond
+// outcomeTimeout is the timeout of an outcome query that the store or the holder of a
+// claim has to answer. During an outage, or when the holder is frozen, there is no
+// response, and the caller would spend the rest of its deadline on the query and
+// fail with the broken connection that caused the query. With an error after a part
+// of a short deadline it can send the request again and gets a response to that.
+const outcomeTimeout = 500 * time.Millisecond
 
-// claimedOutcome looks the key up under every stage that is claimed.
+// claimedOutcome looks up the key's claim under every stage that uses claims.
 func (d *Daemon) claimedOutcome(ctx context.Context, key outcome.Key) (lynxapi.OutcomeReply, bool, error) {
 	for _, stage := range d.claimedStages() {
 		answer, found, err := d.claims.Lookup(ctx, claim.Key{Organisation: key.Organisation, Key: key.Key, Stage: stage})
@@ -97,7 +97,7 @@
 	return lynxapi.OutcomeReply{}, false, nil
 }
 
-// claimedStages are the names of the stages that are not idempotent.
+// claimedStages returns the sorted names of the stages that are not idempotent.
 func (d *Daemon) claimedStages() []string {
 	var names []string
 	for _, p := range d.board.Profiles.Snapshot() {
@@ -111,8 +111,8 @@
 	return names
 }
 
-// outcomeAtHolder asks the instance that holds the claim. If that is gone, all
-// that is known is that the stage was claimed: it may have run.
+// outcomeAtHolder queries the instance that holds the claim. If it does not answer,
+// all that is known is that the stage was claimed: it may have run.
 func (d *Daemon) outcomeAtHolder(ctx context.Context, key outcome.Key, answer claim.Answer) lynxapi.OutcomeReply {
 	if answer.Holder != d.id() {
 		if record, found, err := d.peers.Outcome(ctx, answer.Holder, key); err == nil && found {
@@ -132,7 +132,8 @@
 	return reply
 }
 
-// since answers a peer that is behind: configuration objects, or the targets.
+// since returns the configuration objects, or the targets, that a peer with an
+// older version lacks.
 func (d *Daemon) since(prefix string, after uint64) ([]store.Object, uint64, bool) {
 	if prefix == discovery.PullPrefix {
 		return d.discovery.Since(after)
@@ -140,7 +141,7 @@
 	return d.profiles.Since(prefix, after)
 }
 
-// peerCalls are what calls of other instances lead to.
+// peerCalls returns the handlers of calls from other instances.
 func (d *Daemon) peerCalls() peer.ServerOptions {
 	return peer.ServerOptions{
 		Exchange: func(ctx context.Context, digest gossip.Digest) gossip.Digest { return d.members.Handle(ctx, digest) },
--- a/internal/daemon/edges.go
+++ b/internal/daemon/network.go
@@ -15,8 +15,8 @@
 	"lynxhill.example/lynxhill/internal/tlsconf"
 )
 
-// listeners are opened in New, so that an address that is taken shows before
-// anything runs, and port 0 is known before others are told.
+// listeners are opened by New, so that an address already in use is reported before
+// anything runs, and the port chosen for port 0 is known before it is announced.
 type listeners struct {
 	caller, admin, peer net.Listener
 }
@@ -52,7 +52,8 @@
 	return open, nil
 }
 
-// tlsParts are the reloaders of the listeners; nil ones speak plain HTTP.
+// tlsParts holds the certificate reloaders of the listeners; a listener with a nil
+// reloader speaks plain HTTP.
 type tlsParts struct {
 	caller, admin, peer *tlsconf.Reloader
 }
@@ -83,7 +84,7 @@
 	return parts, nil
 }
 
-// serverConfig is the configuration of a listener, nil for plain HTTP.
+// serverConfig returns the TLS configuration of a listener, nil for plain HTTP.
 func serverConfig(r *tlsconf.Reloader) *tls.Config {
 	if r == nil {
 		return nil
@@ -91,7 +92,8 @@
 	return r.ServerConfig()
 }
 
-// peerClient is the configuration for calls to other instances.
+// peerClient returns the TLS configuration of calls to other instances, nil for
+// plain HTTP.
 func (t tlsParts) peerClient() (*tls.Config, error) {
 	if t.peer == nil {
 		return nil, nil
@@ -137,8 +139,8 @@
 	return strings.TrimSpace(string(text)), err
 }
 
-// platformTLS trusts the CA of the file; without one, the system's CAs hold
-// for endpoints that say https.
+// platformTLS returns a TLS configuration that trusts the CAs in the file. It returns
+// nil without a file; https endpoints are then checked against the system's CAs.
 func platformTLS(caFile string) (*tls.Config, error) {
 	if caFile == "" {
 		return nil, nil
@@ -149,7 +151,7 @@
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(pem) {
-		return nil, fmt.Errorf("%s holds no certificate", caFile)
+		return nil, fmt.Errorf("%s contains no certificate", caFile)
 	}
 	return &tls.Config{MinVersion: tls.VersionTLS12, RootCAs: pool}, nil
 }
--- a/internal/daemon/operations.go
+++ b/internal/daemon/operations.go
@@ -17,7 +17,7 @@
 	"lynxhill.example/lynxhill/internal/wire/lynxapi"
 )
 
-// operations carries out what operators ask; it implements adminapi.Operations.
+// operations implements adminapi.Operations: the queries and changes of operators.
 type operations struct{ d *Daemon }
 
 // Profiles lists the profiles in force.
@@ -34,7 +34,7 @@
 	return view, nil
 }
 
-// SetProfile declares a profile.
+// SetProfile creates or replaces a profile.
 func (o *operations) SetProfile(ctx context.Context, operator, name string, req lynxapi.ChangeRequest) (lynxapi.ChangeReply, error) {
 	return o.d.profiles.Set(ctx, profilesync.Change{
 		Name: name, Profile: req.Profile, IfVersion: req.IfVersion, ChangeID: req.ChangeID,
@@ -42,12 +42,12 @@
 	})
 }
 
-// DeleteProfile takes a profile out of force.
+// DeleteProfile deletes a profile.
 func (o *operations) DeleteProfile(ctx context.Context, operator, name string, ifVersion uint64, changeID string) (lynxapi.ChangeReply, error) {
 	return o.d.profiles.Delete(ctx, profilesync.Change{Name: name, IfVersion: ifVersion, ChangeID: changeID, Operator: operator})
 }
 
-// Rollback puts an earlier version's content in force.
+// Rollback restores the content of an earlier version of a profile.
 func (o *operations) Rollback(ctx context.Context, operator, name string, req lynxapi.RollbackRequest) (lynxapi.ChangeReply, error) {
 	change := profilesync.Change{
 		Name: name, IfVersion: req.IfVersion, ChangeID: req.ChangeID,
@@ -56,7 +56,7 @@
 	return o.d.profiles.Rollback(ctx, change, req.Steps)
 }
 
-// Force tells where a profile is in force.
+// Force returns the instances on which a profile is in force.
 func (o *operations) Force(_ context.Context, name string) (lynxapi.ForceReply, error) {
 	if _, ok := o.d.profiles.View(name); !ok {
 		return lynxapi.ForceReply{}, errkind.New(errkind.NotFound, "there is no profile %q", name)
@@ -64,7 +64,7 @@
 	return o.d.profiles.Force(name), nil
 }
 
-// Change tells what became of a change.
+// Change returns the result of a change.
 func (o *operations) Change(ctx context.Context, id string) (lynxapi.ChangeReply, error) {
 	return o.d.profiles.Lookup(ctx, id)
 }
@@ -119,7 +119,7 @@
 	return view
 }
 
-// Status sums up this instance and what it sees.
+// Status returns a summary of this instance and of what it knows about the others.
 func (o *operations) Status(context.Context) (lynxapi.Status, error) {
 	self, _ := o.d.board.Self.Get(board.SelfRow)
 	status := lynxapi.Status{
@@ -159,7 +159,7 @@
 	return lynxapi.LimitList{Limits: o.d.limits.Limits()}, nil
 }
 
-// SetLimit writes an organisation's limit under its version.
+// SetLimit writes an organisation's limit if the stored version is limit.IfVersion.
 func (o *operations) SetLimit(ctx context.Context, _ string, limit lynxapi.OrganisationLimit) (lynxapi.OrganisationLimit, error) {
 	if limit.Organisation == "" {
 		return limit, errkind.New(errkind.NoOrganisation, "the limit names no organisation")
@@ -171,7 +171,8 @@
 	return limit, err
 }
 
-// put writes an operator's object and tells lost races and lost replies apart.
+// put writes an operator's object. Its error distinguishes a version conflict, an
+// unavailable store and an unknown result.
 func (o *operations) put(ctx context.Context, key string, value any, ifVersion uint64) (uint64, error) {
 	text, err := json.Marshal(value)
 	if err != nil {
@@ -196,14 +197,15 @@
 	return lynxapi.PlacementList{Plans: plans}, err
 }
 
-// SetPlan writes a service's model plan under its version.
+// SetPlan writes a service's model plan if the stored version is plan.IfVersion.
 func (o *operations) SetPlan(ctx context.Context, _ string, plan lynxapi.ModelPlan) (lynxapi.ModelPlan, error) {
 	version, err := o.d.orders.SetPlan(ctx, plan)
 	plan.IfVersion = version
 	return plan, err
 }
 
-// Burn merges the reports of all instances that answer.
+// Burn returns the merged service-level reports of all instances that respond within
+// burnTimeout and names those that do not.
 func (o *operations) Burn(ctx context.Context, window time.Duration) (lynxapi.BurnReport, error) {
 	ctx, cancel := context.WithTimeout(ctx, burnTimeout)
 	defer cancel()
@@ -244,15 +246,15 @@
 	return report
 }
 
-// BurnLocal is the report of this instance.
+// BurnLocal returns the service-level report of this instance.
 func (o *operations) BurnLocal(_ context.Context, window time.Duration) (lynxapi.BurnReport, error) {
 	return o.d.slo.Local(window), nil
 }
 
-// Ready tells whether the instance takes new requests.
+// Ready returns an error unless the instance accepts new requests.
 func (o *operations) Ready() error { return o.d.Ready() }
 
-// burnTimeout bounds the wait for other instances' reports.
+// burnTimeout is the timeout of the reports of other instances.
 const burnTimeout = 3 * time.Second
 
 func milliseconds(ms int64) time.Duration { return time.Duration(ms) * time.Millisecond }
--- a/internal/daemon/operations_drain.go
+++ b/internal/daemon/operations_drain.go
@@ -18,12 +18,12 @@
 	return list, nil
 }
 
-// Drain orders that a subject take no new work. A subject that nobody has heard
-// of is refused: mistyped, it would be reported as drained while the one that
-// was meant goes on taking work.
+// Drain stops new work for a subject. Without Force it refuses an unknown subject: if
+// the name was mistyped, the typo would be reported as drained while the intended
+// subject continues to receive work.
 func (o *operations) Drain(ctx context.Context, operator string, req lynxapi.DrainRequest) (lynxapi.DrainView, error) {
 	if !req.Force && !o.knows(req.Subject) {
-		return lynxapi.DrainView{}, errkind.New(errkind.NotFound, "%s is not known here; force drains it all the same, for when it appears", req.Subject)
+		return lynxapi.DrainView{}, errkind.New(errkind.NotFound, "%s is not known to this instance; use force to drain it anyway, in case it appears later", req.Subject)
 	}
 	if err := o.d.drains.Drain(ctx, req.Subject, operator); err != nil {
 		return lynxapi.DrainView{}, err
@@ -31,8 +31,8 @@
 	return lynxapi.DrainView{Subject: req.Subject, By: operator, At: o.d.opts.Clock.Now().UTC()}, nil
 }
 
-// knows reports whether this instance has heard of the subject of a drain.
-// What is no subject at all is left to the drains to refuse.
+// knows reports whether this instance knows the subject of a drain. It returns true
+// for a subject without a valid prefix; the drain controller rejects it.
 func (o *operations) knows(subject string) bool {
 	b := o.d.board
 	if id, ok := strings.CutPrefix(subject, board.DrainInstance); ok {
@@ -44,31 +44,31 @@
 		return known
 	}
 	for _, prefix := range []string{board.DrainPlace, board.DrainTargetsIn} {
-		if place, ok := strings.CutPrefix(subject, prefix); ok {
-			return o.knowsPlace(place)
+		if zone, ok := strings.CutPrefix(subject, prefix); ok {
+			return o.knowsZone(zone)
 		}
 	}
 	return true
 }
 
-func (o *operations) knowsPlace(place string) bool {
-	if place == o.d.cfg.Instance.Place {
+func (o *operations) knowsZone(zone string) bool {
+	if zone == o.d.cfg.Instance.Place {
 		return true
 	}
 	for _, m := range o.d.board.Members.Snapshot() {
-		if m.Place == place {
+		if m.Place == zone {
 			return true
 		}
 	}
 	for _, t := range o.d.board.Targets.Snapshot() {
-		if t.Place == place {
+		if t.Place == zone {
 			return true
 		}
 	}
 	return false
 }
 
-// Undrain takes a drain back.
+// Undrain cancels a drain.
 func (o *operations) Undrain(ctx context.Context, _, subject string) error {
 	return o.d.drains.Undrain(ctx, subject)
 }
--- a/internal/daemon/operations_test.go
+++ b/internal/daemon/operations_test.go
@@ -9,8 +9,8 @@
 	"lynxhill.example/lynxhill/internal/wire/lynxapi"
 )
 
-// Symptom: a place that was drained goes on taking work. Events: its name was
-// mistyped, and the order was accepted. Cause: any subject is one.
+// Guards against a zone that continues to receive work because its name was mistyped
+// in a drain and the drain of the unknown zone was accepted.
 func TestUnknownSubjectIsNotDrained(t *testing.T) {
 	d := &Daemon{board: board.New(), cfg: config.Config{Instance: config.Instance{ID: "a", Place: "lac-a"}}}
 	d.board.Members.Put("b", board.Member{ID: "b", Place: "lac-b"})
--- a/internal/daemon/options.go
+++ b/internal/daemon/options.go
@@ -1,5 +1,5 @@
-// Package daemon assembles one instance of lynxhill from its parts and runs
-// it: listeners, membership, controllers, request path, graceful stop.
+// Package daemon assembles one instance of lynxhill from its components and runs it:
+// listeners, membership, controllers, request path, graceful stop.
 package daemon
 
 import (
@@ -23,9 +23,9 @@
 // ListenFunc opens a listener on IP:port.
 type ListenFunc func(addr string) (net.Listener, error)
 
-// Options are what a daemon takes from its surroundings. The zero value is
-// what lynxhilld uses; the bench puts faults into Dial and Listen, gives seeds
-// and collects violations.
+// Options are the dependencies that can be replaced. lynxhilld sets only the logger;
+// the benchmark injects faults through Dial and Listen, sets seeds and collects
+// violations.
 type Options struct {
 	Clock  clock.Clock
 	Boot   clock.Boot
@@ -33,9 +33,9 @@
 	Listen ListenFunc
 	Seed   uint64
 	Logger *event.Logger
-	// Violations is told of broken invariants; nil counts and logs them.
+	// Violations receives broken invariants; if nil, they are counted and logged.
 	Violations invariant.Recorder
-	// Policy overrides the policy for choosing targets, for comparisons.
+	// Policy overrides the policy for choosing targets, for comparisons of policies.
 	Policy routing.Policy
 }
 
@@ -58,7 +58,8 @@
 	return o
 }
 
-// randomSeed differs between instances, so that their jitter does.
+// randomSeed returns a seed that differs between instances, so that their jitter
+// differs too.
 func randomSeed() uint64 {
 	var raw [8]byte
 	_, _ = rand.Read(raw[:]) // never fails
--- a/internal/daemon/outcome_test.go
+++ b/internal/daemon/outcome_test.go
@@ -11,10 +11,10 @@
 	"lynxhill.example/lynxhill/internal/standin/platform"
 )
 
-// The symptom would be callers that end with "no answer" at their deadline.
-// Events: the store hangs, a caller's connection breaks, and it asks another
-// instance what became of its key. Cause: the question waits for the store as
-// long as the caller waits, so that no time is left to send the request again.
+// Guards against callers that fail with "no answer" at their deadline: the store
+// hangs, a caller's connection breaks, and the caller queries another instance for
+// the outcome of its key. If the query waits for the store as long as the caller
+// waits, no time is left to send the request again.
 func TestOutcomeQuestionDoesNotWaitOutAnOutage(t *testing.T) {
 	d := newDeployment(t)
 	r := d.start(t, "a", 0, nil)
--- a/internal/daemon/request.go
+++ b/internal/daemon/request.go
@@ -20,7 +20,7 @@
 	"lynxhill.example/lynxhill/internal/wire/targetapi"
 )
 
-// assembleRequestPath makes what a request goes through.
+// assembleRequestPath creates the components that handle requests.
 func (d *Daemon) assembleRequestPath() {
 	clk := d.opts.Clock
 	d.reach = reach.New(reach.Options{Board: d.board, Clock: clk, Logger: d.logger, Metrics: d.metrics})
@@ -28,12 +28,12 @@
 		Board: d.board, Clock: clk, Rand: d.rand(),
 		Place: d.cfg.Instance.Place, Region: d.cfg.Instance.Region,
 		Policy: d.opts.Policy, Limits: d.gateLimits(),
-		MayDispatch: func() bool { return d.profiles.MayDispatch() }, // assembled later
+		MayDispatch: func() bool { return d.profiles.MayDispatch() }, // d.profiles is created later
 		Check:       d.check, Logger: d.logger, Metrics: d.metrics,
 	})
 	d.admitter = admission.NewAdmitter(admission.AdmitterOptions{
 		Board: d.board, Clock: clk, MaxInFlight: d.cfg.Limits.MaxInFlight, Logger: d.logger, Metrics: d.metrics,
-		MayServe: func() bool { return d.profiles.MayServe() }, // assembled later
+		MayServe: func() bool { return d.profiles.MayServe() }, // d.profiles is created later
 	})
 	d.guard = crashguard.New(crashguard.Options{
 		Board: d.board, Clock: clk, Alive: d.targets.Alive, Logger: d.logger, Metrics: d.metrics,
@@ -59,8 +59,8 @@
 	})
 }
 
-// stageCaller calls targets and tells the load view, which is assembled later,
-// of the reports that ride on their replies.
+// stageCaller returns a caller of targets that passes the load reports in their
+// responses to the load view, which is created later.
 func (d *Daemon) stageCaller() stagecall.Caller {
 	return loadview.Observing(reach.Observing(d.targets, d.reach), func(target string, report targetapi.LoadReport) { d.loads.Observe(target, report) })
 }
@@ -91,22 +91,23 @@
 	d.claims = claim.NewRouter(d.pages, d.tickets)
 }
 
-// claimOwner is the instance that had best write the claims of a shard: only a
-// hint, so that instances seldom meet in the same window.
+// claimOwner returns the preferred writer of the claims of a shard. This is only a
+// hint that makes write conflicts on the same window rare.
 func (d *Daemon) claimOwner(shard int) string {
 	return rendezvous.Top(claimKey(shard), d.board.LiveMembers(d.id()), 1)[0]
 }
 
-// claimKey is what instances are ranked by for a shard of claims.
+// claimKey returns the rendezvous key by which instances are ranked for a shard of
+// claims.
 func claimKey(shard int) string { return "claims/" + strconv.Itoa(shard) }
 
-// objective returns the objective of a profile, 0 if it names none.
+// objective returns the service-level objective of a profile, 0 if it has none.
 func (d *Daemon) objective(name string) float64 {
 	p, _ := d.profile(name)
 	return p.Profile.Objective
 }
 
-// report counts a request that the pipeline has ended.
+// report records a request that the pipeline has finished for the SLO tracker.
 func (d *Daemon) report(req pipeline.Request, _ profile.Versioned, out pipeline.Outcome, err error) {
 	total := d.opts.Clock.Now().Sub(req.Received)
 	d.slo.Observe(slo.Sample{
@@ -116,7 +117,7 @@
 	})
 }
 
-// reportRefused counts a request that was refused before the pipeline.
+// reportRefused records a request that was refused before the pipeline.
 func (d *Daemon) reportRefused(req pipeline.Request, err error) {
 	d.slo.Observe(slo.Sample{
 		Profile: req.Profile, Organisation: req.Organisation, Err: err,
@@ -124,5 +125,5 @@
 	})
 }
 
-// loadEvery is how often membership is told of this instance's room.
+// loadEvery is the interval of the reports of this instance's load to membership.
 const loadEvery = 500 * time.Millisecond
--- a/internal/daemon/run.go
+++ b/internal/daemon/run.go
@@ -19,19 +19,20 @@
 )
 
 const (
-	// drainPoll is how often a stopping instance looks whether its last
-	// request is done.
+	// drainPoll is the interval at which a stopping instance checks whether its last
+	// request has finished.
 	drainPoll = 50 * time.Millisecond
-	// lastWords bounds what a stopping instance does after its last request:
-	// record claims, hand over outcomes, close connections.
-	lastWords = 8 * time.Second
-	// claimWords is the part of lastWords for recording claims.
-	claimWords = 6 * time.Second
-	// maxHandover is how many outcomes a stopping instance passes on.
+	// closingTimeout is the timeout of the work of a stopping instance after its last
+	// request: recording claims, handing over outcomes, closing connections.
+	closingTimeout = 8 * time.Second
+	// claimDrainTimeout is the part of closingTimeout that recording claims may use.
+	claimDrainTimeout = 6 * time.Second
+	// maxHandover is the maximum number of outcomes that a stopping instance sends to
+	// another one.
 	maxHandover = 5000
 )
 
-// servers are the three listeners' servers.
+// servers holds the servers of the three listeners.
 type servers struct {
 	caller, admin *httpserver.Server
 	peer          *http.Server
@@ -71,9 +72,10 @@
 	return nil
 }
 
-// Run serves until ctx ends, then stops gracefully: nothing in flight is cut,
-// and callers that kept an address answer are still served until the longest
-// kept answer has run out. It returns nil after a graceful stop.
+// Run serves until ctx ends, then stops gracefully: requests in flight finish within
+// the grace period, if one is set, and callers that have cached this instance's
+// address are served until the cache lifetime has passed. Run returns nil after a
+// graceful stop.
 func (d *Daemon) Run(ctx context.Context) error {
 	d.logger.Log(event.DaemonStarted, "caller", d.CallerAddr(), "admin", d.AdminAddr(), "peer", d.PeerAddr())
 	partsCtx, stopParts := context.WithCancel(context.WithoutCancel(ctx))
@@ -94,7 +96,7 @@
 	}
 	stopParts()
 	parts.Wait()
-	d.closeEdges()
+	d.closeIO()
 	d.logger.Log(event.DaemonStopped)
 	return err
 }
@@ -125,19 +127,19 @@
 	return d.servers.peer.ServeTLS(d.net.peer, "", "")
 }
 
-// stop is the graceful stop. Order matters: first no new callers are sent
-// here, then those who still may come are served, and only then does the
-// instance stop being reachable for its peers.
+// stop stops the instance gracefully. The order matters: first the other instances
+// stop directing new callers to this one, then the callers that still have its address
+// are served, and only then do the listeners close, the peer listener last.
 func (d *Daemon) stop() {
 	d.logger.Log(event.DaemonStopping, "in_flight", d.admitter.InFlight())
 	d.markStopping()
 	ctx, cancel := d.stopContext()
 	defer cancel()
 	d.members.Leave(ctx)
-	d.serveKeptAnswers(ctx)
+	d.waitForCachedAddresses(ctx)
 	d.awaitLastRequest(ctx)
 	d.awaitClaimedCalls(ctx)
-	closing, done := loop.WithTimeout(context.Background(), d.opts.Clock, lastWords)
+	closing, done := loop.WithTimeout(context.Background(), d.opts.Clock, closingTimeout)
 	defer done()
 	d.drainClaims(closing)
 	d.handOver(closing)
@@ -147,8 +149,8 @@
 	d.Kill()
 }
 
-// stopContext bounds a graceful stop by the setting; unset, it takes as long
-// as requests take.
+// stopContext returns a context that ends after the grace period of the settings.
+// Without one, a graceful stop takes as long as the requests in flight.
 func (d *Daemon) stopContext() (context.Context, context.CancelFunc) {
 	grace := d.cfg.Timings.StopGrace.Duration
 	if grace <= 0 {
@@ -164,10 +166,10 @@
 	})
 }
 
-// serveKeptAnswers waits until no caller can hold an address answer that names
-// this instance: its peers gave it until the leave announcement reached them,
-// and callers keep an answer for the longest keep time after that.
-func (d *Daemon) serveKeptAnswers(ctx context.Context) {
+// waitForCachedAddresses waits until no caller can have a cached address response that names
+// this instance: its peers returned it until the leave announcement reached them, and
+// callers cache a response for up to the longest keep time after that.
+func (d *Daemon) waitForCachedAddresses(ctx context.Context) {
 	spread := 2 * d.cfg.Timings.PeerHeartbeat.Duration
 	loop.Sleep(ctx, d.opts.Clock, d.steering.LongestKeep()+spread)
 }
@@ -181,11 +183,11 @@
 	}
 }
 
-// awaitClaimedCalls waits for the claimed calls that go on after their caller
-// has left. Ended with the instance, such a call leaves a claim that nobody
-// completes: every resend is told "may have run" for the whole retention,
-// although the stage's answer was on its way. Each ends with the deadline of
-// its request, and all of them with the grace of the stop.
+// awaitClaimedCalls waits for the claimed calls that continue after their caller has
+// disconnected. If such a call ended with the instance, its claim would never be
+// completed: every resend would get "may have run" for the whole retention, although
+// the stage's response was on its way. Each call ends at the deadline of its request,
+// and the wait ends with the grace period of the stop.
 func (d *Daemon) awaitClaimedCalls(ctx context.Context) {
 	ended := make(chan struct{})
 	go func() {
@@ -199,17 +201,17 @@
 	}
 }
 
-// drainClaims records what the claims still owe. It leaves time for what comes
-// after it.
+// drainClaims writes the claim records that are not yet in the store, or hands them to
+// other instances. Its timeout leaves time for the later steps of the stop.
 func (d *Daemon) drainClaims(ctx context.Context) {
 	d.platform.SetStopping()
-	ctx, cancel := loop.WithTimeout(ctx, d.opts.Clock, claimWords)
+	ctx, cancel := loop.WithTimeout(ctx, d.opts.Clock, claimDrainTimeout)
 	defer cancel()
 	d.pages.Drain(ctx)
 }
 
-// handOver passes recent outcomes on, so that a resend finds its answer after
-// this instance is gone.
+// handOver sends recent outcomes to another instance, so that a resend finds its
+// outcome after this instance has ended.
 func (d *Daemon) handOver(ctx context.Context) {
 	records := d.outcomes.Export(maxHandover)
 	if len(records) == 0 {
@@ -223,7 +225,7 @@
 	d.logger.Log(event.OutcomesLost, "records", len(records))
 }
 
-// otherMembers are the other living instances, those of the own availability
+// otherMembers returns the other live instances, those in this instance's availability
 // zone first.
 func (d *Daemon) otherMembers() []string {
 	near := d.board.LiveMembersIn(d.cfg.Instance.Place, d.id())
@@ -236,8 +238,8 @@
 	return others
 }
 
-// Kill closes every listener and connection at once, as the death of the
-// process would. Run returns.
+// Kill closes every listener and connection at once, as a crash of the process would.
+// Run returns.
 func (d *Daemon) Kill() {
 	d.killOnce.Do(func() {
 		close(d.killed)
@@ -247,12 +249,12 @@
 	})
 }
 
-func (d *Daemon) closeEdges() {
+func (d *Daemon) closeIO() {
 	d.peers.Close()
 	d.targets.Close()
 	d.net.close()
 	d.background.Wait()
 }
 
-// Clock is the daemon's clock, for the bench.
+// Clock returns the daemon's clock, for the benchmark.
 func (d *Daemon) Clock() clock.Clock { return d.opts.Clock }
--- a/internal/daemon/stop_store_test.go
+++ b/internal/daemon/stop_store_test.go
@@ -12,8 +12,8 @@
 	"lynxhill.example/lynxhill/internal/wire/lynxapi"
 )
 
-// Guards against a booking that has run and stays "may have run" because the
-// store was away while its instance stopped.
+// Guards against a booking that has run but remains recorded as "may have run" because
+// the store was unavailable while its instance stopped.
 func TestStopRecordsCompletionsDespiteStoreOutage(t *testing.T) {
 	for _, away := range []time.Duration{3 * time.Second, 5 * time.Second, 8 * time.Second} {
 		t.Run(fmt.Sprint(away), func(t *testing.T) {
@@ -45,8 +45,8 @@
 	}
 }
 
-// awaitCompleted polls while the store client of the instance has not yet seen
-// the end of an outage.
+// awaitCompleted checks that the claim is completed. It retries failed lookups, since
+// the store client of the instance may not have noticed the end of the outage yet.
 func (d *deployment) awaitCompleted(t *testing.T, at *running, key claim.Key) {
 	t.Helper()
 	for limit := time.Now().Add(45 * time.Second); ; time.Sleep(50 * time.Millisecond) {
@@ -61,7 +61,7 @@
 	}
 }
 
-// Guards against a stop that loses its outcomes without a trace.
+// Guards against a stop that loses its outcomes without logging it.
 func TestStopWithoutPeersLogsItsOutcomes(t *testing.T) {
 	d := newDeployment(t)
 	var lines logLines
@@ -80,8 +80,8 @@
 	}
 }
 
-// Guards against a stop that goes on recording claims beyond its limit and logs
-// what it lost more than once.
+// Guards against a stop that continues to write claim records beyond its timeout, or
+// logs the lost records more than once.
 func TestStopEndsThoughNobodyTakesItsClaims(t *testing.T) {
 	d := newDeployment(t)
 	var lines logLines
@@ -97,6 +97,6 @@
 		t.Errorf("the stop: %v", err)
 	}
 	if n := strings.Count(lines.String(), "claim_records_lost records=1"); n != 1 {
-		t.Errorf("the log tells %d times of the lost completion: %s", n, &lines)
+		t.Errorf("the log reports the lost completion %d times: %s", n, &lines)
 	}
 }
--- a/internal/daemon/stop_test.go
+++ b/internal/daemon/stop_test.go
@@ -15,7 +15,7 @@
 	"lynxhill.example/lynxhill/internal/wire/targetapi"
 )
 
-// logLines collects the lines of an instance.
+// logLines collects the log lines of an instance.
 type logLines struct {
 	mu   sync.Mutex // guards text
 	text bytes.Buffer
@@ -33,19 +33,18 @@
 	return l.text.String()
 }
 
-// Symptom: after a planned stop, a booking that went through is "may have run"
-// for its caller, however often it asks. Events: the caller's connection broke
-// while the service booked; the instance was stopped; it had no request left
-// and ended, and the call with it. Cause: claimed calls that go on without
-// their callers are not requests in flight. A streamed answer that is under
-// way shows that those are not cut either.
+// Guards against a booking that has run but that every later query reports as "may
+// have run" after a planned stop: the caller's connection broke while the service
+// booked, and the instance ended, and the call with it, because claimed calls that
+// continue without their callers do not count as requests in flight. The streamed
+// response that is in progress checks that streams are not cut either.
 func TestGracefulStopCutsNothing(t *testing.T) {
 	d := newDeployment(t)
 	var lines logLines
 	stopping, other := d.start(t, "a", 0, &lines), d.start(t, "b", 1, nil)
 	d.declare(t, stopping, other)
 	for _, m := range d.fleet.Service("booking") {
-		m.Target.Straggle(400) // the booking outlasts the note and the rest of the stop
+		m.Target.Straggle(400) // the booking takes longer than the note and the rest of the stop
 	}
 
 	booking := d.abandonBooking(t, stopping)
@@ -80,28 +79,28 @@
 	}
 	for _, wrong := range []string{"server_failed", "daemon_stop_cut"} {
 		if strings.Contains(lines.String(), wrong) {
-			t.Errorf("the log of the stopped instance tells of %s", wrong)
+			t.Errorf("the log of the stopped instance contains %s", wrong)
 		}
 	}
 }
 
-// abandonBooking sends a booking whose caller leaves while it is under way.
+// abandonBooking sends a booking whose caller disconnects while it runs.
 func (d *deployment) abandonBooking(t *testing.T, to *running) (booking targetapi.RunRecord) {
 	t.Helper()
 	ctx, leave := context.WithCancel(t.Context())
 	go d.sendWithoutKey(ctx, to, "booking")
-	await(t, "the booking is under way", func() (found bool) {
+	await(t, "the booking runs", func() (found bool) {
 		booking, found = d.runOf("book")
 		return found
 	})
 	leave()
-	await(t, "the caller has left", func() bool { return to.admitter.InFlight() == 0 })
+	await(t, "the caller has disconnected", func() bool { return to.admitter.InFlight() == 0 })
 	return booking
 }
 
-// Symptom: an instance does not end, although timings.stop_grace is over.
-// Events: a service does not answer a booking whose caller has left. Cause: a
-// wait for claimed calls without an end.
+// Guards against an instance that does not end after timings.stop_grace because it
+// waits for a claimed call that the service does not answer and whose caller has
+// disconnected.
 func TestStopGraceBoundsTheWaitForClaimedCalls(t *testing.T) {
 	d := newDeployment(t)
 	d.grace = time.Millisecond
@@ -120,6 +119,6 @@
 		t.Error("the stop waited for the booking")
 	}
 	if !strings.Contains(lines.String(), "daemon_stop_cut") {
-		t.Error("the log does not tell that the stop was cut")
+		t.Error("the log does not report that the stop was cut short")
 	}
 }
--- a/internal/daemon/violations.go
+++ b/internal/daemon/violations.go
@@ -6,7 +6,7 @@
 	"lynxhill.example/lynxhill/internal/invariant"
 )
 
-// violationCounter counts broken invariants on their way to the recorder.
+// violationCounter counts broken invariants and passes them to the next recorder.
 type violationCounter struct {
 	count atomic.Int64
 	next  invariant.Recorder
