--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,6 +1,6 @@
-// Package config holds the settings of an instance: the struct, its defaults,
-// its rules, and the reader of its TOML form. docs/operators/settings.md
-// describes every key.
+// Package config holds the settings of an instance: the struct, its defaults, its
+// validation, and the parser of its TOML form. docs/operators/settings.md describes
+// every key.
 package config
 
 import (
@@ -12,8 +12,8 @@
 	"lynxhill.example/lynxhill/internal/storeclient"
 )
 
-// Config is the settings of one instance. Every duration is a string with its
-// unit, such as "250ms".
+// Config holds the settings of one instance. Every duration is a string with a unit,
+// such as "250ms".
 type Config struct {
 	Instance Instance `toml:"instance"`
 	Listen   Listen   `toml:"listen"`
@@ -30,35 +30,36 @@
 	Debug    Debug    `toml:"debug"`
 }
 
-// Instance says who and where the instance is.
+// Instance holds the identity and the location of the instance.
 type Instance struct {
-	ID     string `toml:"id"`     // unique among instances; "" = place and caller address
+	ID     string `toml:"id"`     // unique among instances; "" = zone and caller address
 	Place  string `toml:"place"`  // availability zone; required
 	Region string `toml:"region"` // required
 }
 
-// Listen holds the addresses, each an IP number with a port. Port 0 lets the
-// system choose one.
+// Listen holds the listen addresses, each an IP address with a port. With port 0 the
+// system chooses a port.
 type Listen struct {
 	Caller string `toml:"caller"`
 	Admin  string `toml:"admin"`
 	Peer   string `toml:"peer"`
-	// Advertise addresses are what others are told, where they differ from
-	// the ones listened on; "" = the same.
+	// The advertise addresses are announced to callers and other instances instead of
+	// the listen addresses; "" = the listen address.
 	AdvertiseCaller string `toml:"advertise_caller"`
 	AdvertiseAdmin  string `toml:"advertise_admin"`
 	AdvertisePeer   string `toml:"advertise_peer"`
 }
 
-// Platform says where the platform's object API and instance list are.
+// Platform holds the addresses of the platform's object API and instance list, and the
+// budget of calls.
 type Platform struct {
-	Endpoints []string `toml:"endpoints"`  // http://IP:port or https://IP:port; any may answer
-	TokenFile string   `toml:"token_file"` // file that holds the bearer token; "" = none
+	Endpoints []string `toml:"endpoints"`  // http://IP:port or https://IP:port; any of them may respond
+	TokenFile string   `toml:"token_file"` // file with the bearer token; "" = none
 	CAFile    string   `toml:"ca_file"`    // for https; "" = the system's
-	// What all instances together may ask of it; each takes a share.
+	// Call rates of all instances together; each instance uses a share of them.
 	WritesPerSecond int `toml:"writes_per_second"`
 	ReadsPerSecond  int `toml:"reads_per_second"`
-	Watches         int `toml:"watches"` // of one instance, waiting at once
+	Watches         int `toml:"watches"` // of one instance, waiting at the same time
 }
 
 // TLS holds the files of each listener.
@@ -68,9 +69,9 @@
 	Peer   TLSFiles `toml:"peer"`
 }
 
-// TLSFiles are PEM files; they are read again when they change. Without
-// CertFile and KeyFile the listener speaks plain HTTP. With ClientCAFile a
-// client has to show a certificate of that CA.
+// TLSFiles are PEM files; they are reloaded when they change. Without CertFile and
+// KeyFile the listener speaks plain HTTP. With ClientCAFile a client has to present a
+// certificate of that CA.
 type TLSFiles struct {
 	CertFile     string `toml:"cert_file"`
 	KeyFile      string `toml:"key_file"`
@@ -80,58 +81,58 @@
 // Enabled reports whether the listener speaks TLS.
 func (f TLSFiles) Enabled() bool { return f.CertFile != "" }
 
-// Tokens of callers and operators, as hashes. The entries of File are added to
-// the ones that stand here; File is read again when it changes.
+// Tokens holds the tokens of callers and operators, as hashes. The entries of File are
+// added to those listed here; File is reloaded when it changes.
 type Tokens struct {
 	File     string               `toml:"file"`
 	Caller   []auth.CallerToken   `toml:"caller"`
 	Operator []auth.OperatorToken `toml:"operator"`
 }
 
-// Set returns the tokens that stand in the settings.
+// Set returns the tokens listed in the settings, without those of File.
 func (t Tokens) Set() auth.Tokens {
 	return auth.Tokens{Caller: t.Caller, Operator: t.Operator}
 }
 
-// Peers holds addresses of other instances to start from.
+// Peers holds addresses of other instances that are contacted first.
 type Peers struct {
-	Seeds []string `toml:"seeds"` // IP:port of peer listeners, besides the platform's instance list
+	Seeds []string `toml:"seeds"` // IP:port of peer listeners, in addition to the platform's instance list
 }
 
-// Limits bound what one instance holds in memory and takes on.
+// Limits limit the memory and the concurrent requests of one instance.
 type Limits struct {
 	MaxBodyKB   int `toml:"max_body_kb"`   // body of a request
 	MaxAnswerKB int `toml:"max_answer_kb"` // whole answer
-	MaxInFlight int `toml:"max_in_flight"` // requests at once
-	MaxQueued   int `toml:"max_queued"`    // of them, waiting for a target
+	MaxInFlight int `toml:"max_in_flight"` // concurrent requests
+	MaxQueued   int `toml:"max_queued"`    // those of them that wait for a target
 }
 
-// Timings are the intervals and patience of the instance.
+// Timings holds the intervals and timeouts of the instance.
 type Timings struct {
-	Heartbeat     Duration `toml:"heartbeat"`      // to a caller that waits for a streamed answer
-	Keep          Duration `toml:"keep"`           // how long a caller may keep an address answer
+	Heartbeat     Duration `toml:"heartbeat"`      // interval, to a caller that waits for a streamed response
+	Keep          Duration `toml:"keep"`           // how long a caller may cache an address response
 	BodyTimeout   Duration `toml:"body_timeout"`   // for a caller to send its whole request
-	WriteTimeout  Duration `toml:"write_timeout"`  // for a caller to take one piece of the answer
-	StopGrace     Duration `toml:"stop_grace"`     // wait for requests in flight when stopping; 0s = as long as they take
-	PeerHeartbeat Duration `toml:"peer_heartbeat"` // between instances
-	FenceAfter    Duration `toml:"fence_after"`    // cut off from store and majority for this long: take no new work
-	LeaseTTL      Duration `toml:"lease_ttl"`      // of the order-giver of a service
-	FileCheck     Duration `toml:"file_check"`     // how often token and certificate files are looked at
+	WriteTimeout  Duration `toml:"write_timeout"`  // for a caller to receive one piece of the response
+	StopGrace     Duration `toml:"stop_grace"`     // longest wait for requests in flight when stopping; 0s = no limit
+	PeerHeartbeat Duration `toml:"peer_heartbeat"` // interval between instances
+	FenceAfter    Duration `toml:"fence_after"`    // accept no new work after this time without contact with either the store or a majority of the instances
+	LeaseTTL      Duration `toml:"lease_ttl"`      // of the lease on giving orders to a service
+	FileCheck     Duration `toml:"file_check"`     // interval at which token and certificate files are checked for changes
 }
 
 // Routing is the policy for choosing targets.
 type Routing struct {
-	RetryBudget float64 `toml:"retry_budget"` // repeats, resumes and hedges as a share of first attempts
+	RetryBudget float64 `toml:"retry_budget"` // retries, resumes and hedges as a share of first attempts
 	MaxAttempts int     `toml:"max_attempts"` // per stage
 	MaxEjected  float64 `toml:"max_ejected"`  // largest share of a service that may be ejected as stragglers
 }
 
-// Claims is how at-most-once claims are recorded in the platform.
+// Claims holds the settings of the at-most-once claims that are recorded in the platform.
 type Claims struct {
 	Shards          int      `toml:"shards"`
 	WindowKB        int      `toml:"window_kb"`
-	Flush           Duration `toml:"flush"`            // least time between two writes of a shard, on average
-	Retention       Duration `toml:"retention"`        // of keys that carry their time
+	Flush           Duration `toml:"flush"`            // minimum average time between two writes of a shard
+	Retention       Duration `toml:"retention"`        // of keys that contain a timestamp
 	OpaqueRetention Duration `toml:"opaque_retention"` // of other keys
 }
 
@@ -141,18 +142,18 @@
 	FormatJSON   = "json"
 )
 
-// Log says what is logged.
+// Log holds the settings of the log.
 type Log struct {
 	Level  string `toml:"level"`  // debug, info, warn or error
 	Format string `toml:"format"` // logfmt or json
 }
 
-// Debug switches on what an operator needs only now and then.
+// Debug enables diagnostics that an operator needs only occasionally.
 type Debug struct {
-	Pprof bool `toml:"pprof"` // profiles of the process on the admin listener, for operators
+	Pprof bool `toml:"pprof"` // CPU and memory profiles of the process on the admin listener, for operators
 }
 
-// Default returns the settings that hold where the file says nothing.
+// Default returns the default settings.
 func Default() Config {
 	return Config{
 		Platform: Platform{
@@ -185,19 +186,19 @@
 	}
 }
 
-// Duration is a duration that is written with its unit.
+// Duration is a duration that is written with a unit.
 type Duration struct {
 	time.Duration
-	// unusable is the text of a value that is none. The decoder names the key
-	// of a bad string, but not of a bare number, so Validate reports both.
+	// unusable is the text of a value that is not a duration. The decoder names the key
+	// of an invalid string but not that of a number, so Validate reports both.
 	unusable string
 }
 
 // Of returns d as a Duration.
 func Of(d time.Duration) Duration { return Duration{Duration: d} }
 
-// UnmarshalText implements encoding.TextUnmarshaler. It never fails: Validate
-// refuses what is no duration, with the key.
+// UnmarshalText implements encoding.TextUnmarshaler. It never fails: Validate reports a
+// value that is not a duration, with its key.
 func (d *Duration) UnmarshalText(text []byte) error {
 	parsed, err := time.ParseDuration(string(text))
 	if err != nil {
@@ -208,13 +209,13 @@
 	return nil
 }
 
-// Err returns an error if the text that d was read from is no duration. Files
-// that are not a Config ask this by themselves.
+// Err returns an error if the text that d was parsed from is not a duration. Validate
+// checks this for a Config; users of Duration in other files call it themselves.
 func (d Duration) Err() error {
 	if d.unusable == "" {
 		return nil
 	}
-	return fmt.Errorf("%q is not a duration with its unit, such as \"250ms\"", d.unusable)
+	return fmt.Errorf("%q is not a duration with a unit, such as \"250ms\"", d.unusable)
 }
 
 // MarshalText implements encoding.TextMarshaler.
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -29,21 +29,21 @@
 	}
 }
 
-func TestFaultsAreOneLineWithTheKey(t *testing.T) {
+func TestErrorsAreOneLineWithTheKey(t *testing.T) {
 	hash := strings.Repeat("ab", 32)
 	tests := []struct{ name, replace, by, want string }{
 		{"unknown key", "place =", "plaice = 1\nplace =", "unknown key instance.plaice"},
 		{"no id", `id = "i1"`, "", "instance.id: is missing"},
 		{"unknown table", "[platform]", "[moon]\nx = 1\n[platform]", "unknown key moon"},
 		{"missing place", `place = "lac-a"`, "", "instance.place: is missing"},
-		{"name for number", `caller = "127.0.0.1:0"`, `caller = "localhost:80"`, "listen.caller"},
+		{"host name", `caller = "127.0.0.1:0"`, `caller = "localhost:80"`, "listen.caller"},
 		{"no port", `admin = "127.0.0.1:0"`, `admin = "127.0.0.1"`, "listen.admin"},
 		{"every address", `peer = "127.0.0.1:0"`, `peer = "0.0.0.0:1"`, "listen.advertise_peer: is missing"},
 		{"platform by name", "http://127.0.0.1:9000", "http://platform:9000", "platform.endpoints[0]"},
 		{"no unit", "[platform]", "[timings]\nkeep = 5\n[platform]", "timings.keep"},
 		{"wrong unit", "[platform]", "[timings]\nkeep = \"5 parsecs\"\n[platform]", "timings.keep"},
 		{"out of range", "[platform]", "[claims]\nwindow_kb = 5000\n[platform]", "claims.window_kb"},
-		{"no writes", "[platform]", "[platform]\nwrites_per_second = 0", "platform.writes_per_second"},
+		{"no write budget", "[platform]", "[platform]\nwrites_per_second = 0", "platform.writes_per_second"},
 		{"half of TLS", "[platform]", "[tls.admin]\ncert_file = \"c\"\n[platform]", "tls.admin.key_file"},
 		{"peer CA", "[platform]", "[tls.peer]\ncert_file = \"c\"\nkey_file = \"k\"\n[platform]", "tls.peer.client_ca_file"},
 		{"token in clear", "[platform]", "[[tokens.caller]]\nhash = \"secret\"\norganisation = \"o\"\n[platform]", "tokens.caller[0].hash"},
@@ -58,13 +58,13 @@
 				t.Fatalf("error %v, want one with %q", err, tt.want)
 			}
 			if strings.Contains(err.Error(), "\n") || strings.Contains(err.Error(), "secret") {
-				t.Fatalf("error runs over several lines or quotes a token: %q", err)
+				t.Fatalf("error has several lines or quotes a token: %q", err)
 			}
 		})
 	}
 }
 
-func TestTheIDIsMadeOfThePlaceAndTheAddressThatCallersKnow(t *testing.T) {
+func TestTheIDIsMadeOfTheZoneAndTheAddressThatCallersKnow(t *testing.T) {
 	noID := strings.Replace(minimal, `id = "i1"`, "", 1)
 	tests := []struct{ caller, want string }{
 		{"caller = \"10.0.0.1:70\"", "lac-a/10.0.0.1:70"},
--- a/internal/config/files.go
+++ b/internal/config/files.go
@@ -9,7 +9,8 @@
 	"lynxhill.example/lynxhill/internal/auth"
 )
 
-// CheckFiles tries the files that the settings name. The error names the key.
+// CheckFiles reads the files that the settings name and checks their content. The error
+// names the key.
 func (c *Config) CheckFiles() error {
 	if err := readable("platform.token_file", c.Platform.TokenFile); err != nil {
 		return err
@@ -18,7 +19,7 @@
 		return err
 	}
 	if _, err := auth.New(auth.Options{Tokens: c.Tokens.Set(), File: c.Tokens.File}); err != nil {
-		return fault("tokens.file", "%s", oneLine(err.Error()))
+		return settingError("tokens.file", "%s", oneLine(err.Error()))
 	}
 	for _, l := range c.TLS.listeners() {
 		if err := l.files.check(l.key); err != nil {
@@ -33,7 +34,7 @@
 		return nil
 	}
 	if _, err := tls.LoadX509KeyPair(f.CertFile, f.KeyFile); err != nil {
-		return fault(key+".cert_file", "with key_file: %s", oneLine(err.Error()))
+		return settingError(key+".cert_file", "with key_file: %s", oneLine(err.Error()))
 	}
 	return checkCA(key+".client_ca_file", f.ClientCAFile)
 }
@@ -44,10 +45,10 @@
 	}
 	pem, err := os.ReadFile(path)
 	if err == nil && !x509.NewCertPool().AppendCertsFromPEM(pem) {
-		err = errors.New("holds no certificate")
+		err = errors.New("contains no certificate")
 	}
 	if err != nil {
-		return fault(key, "%s", err)
+		return settingError(key, "%s", err)
 	}
 	return nil
 }
@@ -57,7 +58,7 @@
 		return nil
 	}
 	if _, err := os.ReadFile(path); err != nil {
-		return fault(key, "%s", err)
+		return settingError(key, "%s", err)
 	}
 	return nil
 }
--- a/internal/config/files_test.go
+++ b/internal/config/files_test.go
@@ -15,7 +15,7 @@
 	tests := []struct {
 		key  string
 		set  func(c *Config, path string)
-		both bool // a damaged file is refused, not only a missing one
+		both bool // a damaged file is rejected too, not only a missing one
 	}{
 		{"platform.token_file", func(c *Config, path string) { c.Platform.TokenFile = path }, false},
 		{"platform.ca_file", func(c *Config, path string) { c.Platform.CAFile = path }, true},
--- a/internal/config/ingress.go
+++ b/internal/config/ingress.go
@@ -6,39 +6,40 @@
 	"time"
 )
 
-// Ingress is the serving of plain HTTP requests on a platform that declares
-// routes and targets. An instance with a listen address serves these and not
-// the caller and admin API.
+// Ingress holds the settings for serving plain HTTP requests on a platform that
+// declares routes and targets. An instance with a listen address here serves these
+// instead of the caller and admin API.
 type Ingress struct {
-	Listen    string `toml:"listen"`    // callers' requests; "" = the instance serves no plain requests
-	Readiness string `toml:"readiness"` // the platform's question whether the instance is ready
-	Addresses string `toml:"addresses"` // callers' question where to connect; "" = not answered here
-	Control   string `toml:"control"`   // a second address for other instances, where peers.seeds point; "" = none
-	Metrics   string `toml:"metrics"`   // where operators read metrics as text; "" = nowhere
+	Listen    string `toml:"listen"`    // for callers' requests; "" = the instance serves no plain requests
+	Readiness string `toml:"readiness"` // for the platform's readiness checks
+	Addresses string `toml:"addresses"` // for callers' address queries; "" = not served
+	Control   string `toml:"control"`   // a second address for other instances, the one that peers.seeds name; "" = none
+	Metrics   string `toml:"metrics"`   // for the metrics page; "" = not served
 
-	AddressTTL Duration `toml:"address_ttl"` // how long callers may keep an address
-	Grace      Duration `toml:"grace"`       // from the order to stop to the end of the process
-	Touch      Duration `toml:"touch"`       // after which a cut-off instance is out of touch
-	Apply      Duration `toml:"apply"`       // within which a change of routes and targets is in force
-	FailClosed bool     `toml:"fail_closed"` // refuse keys that were not confirmed for Revocation
+	AddressTTL Duration `toml:"address_ttl"` // how long callers may cache an address
+	Grace      Duration `toml:"grace"`       // longest time from the start of a stop to the end of the process
+	Touch      Duration `toml:"touch"`       // time after which a cut-off instance counts as out of touch
+	Apply      Duration `toml:"apply"`       // time within which a change of routes and targets has to be in force
+	FailClosed bool     `toml:"fail_closed"` // refuse all requests if keys were not confirmed for Revocation
 	Revocation Duration `toml:"revocation"`
 
-	RetryRatio  float64  `toml:"retry_ratio"`  // repeats for each request
-	RetryWindow Duration `toml:"retry_window"` // over which they count
-	RetryExtra  float64  `toml:"retry_extra"`  // repeats beside those, of all instances together
+	RetryRatio  float64  `toml:"retry_ratio"`  // retries allowed per request
+	RetryWindow Duration `toml:"retry_window"` // period over which requests and retries are counted
+	RetryExtra  float64  `toml:"retry_extra"`  // retries allowed in addition, of all instances together
 
-	ReuseWindow Duration `toml:"reuse_window"` // within which prompt parts are worth being kept
+	ReuseWindow Duration `toml:"reuse_window"` // how long prompt parts are worth keeping for reuse
 
-	// Evacuations says that the platform has orders to evacuate availability
-	// zones. They are not watched where it has not.
+	// Evacuations is set if the platform supports orders to evacuate availability zones.
+	// Otherwise they are not watched.
 	Evacuations bool `toml:"evacuations"`
-	// ColdOverage is by how much the declared rate of a target that has just
-	// started may be exceeded; what is tolerated beyond that is kept back.
+	// ColdOverage is the factor, 1 or more, by which the request rate of a target that
+	// has just started may exceed its declared rate. Any further tolerance of the target
+	// is held in reserve.
 	ColdOverage float64 `toml:"cold_overage"`
 
 	MemoryMB       int     `toml:"memory_mb"`       // of the process, MiB; 0 = not bounded
 	Descriptors    int     `toml:"descriptors"`     // open files and sockets of the process; 0 = not bounded
-	ProcessorShare float64 `toml:"processor_share"` // of a core
+	ProcessorShare float64 `toml:"processor_share"` // share of a core
 	ProcessorCores float64 `toml:"processor_cores"`
 }
 
@@ -60,9 +61,9 @@
 	}
 }
 
-// shortestApply is the shortest time within which a change can be in force: the
-// times of which it is the sum are shares of it, and the store needs some of it.
-const shortestApply = time.Second
+// minApply is the smallest valid value of ingress.apply: that time is divided into
+// the shares of the steps of a change, and the store needs one of them.
+const minApply = time.Second
 
 func (i Ingress) validate() error {
 	if !i.Enabled() {
@@ -81,23 +82,23 @@
 		}
 	}
 	if netip.MustParseAddrPort(i.Listen).Addr().IsUnspecified() {
-		return fault("ingress.listen", "%q is no address that callers could connect to", i.Listen)
+		return settingError("ingress.listen", "%q is not an address to which callers can connect", i.Listen)
 	}
 	if i.ColdOverage < 1 {
-		return fault("ingress.cold_overage", "must be 1 at least")
+		return settingError("ingress.cold_overage", "must be at least 1")
 	}
 	if i.RetryRatio < 0 || i.RetryExtra < 0 {
-		return fault("ingress.retry_ratio", "and retry_extra must not be negative")
+		return settingError("ingress.retry_ratio", "and retry_extra must not be negative")
 	}
-	return firstFault(
+	return firstError(
 		checkInt("ingress.memory_mb", i.MemoryMB, 0, math.MaxInt32),
 		checkInt("ingress.descriptors", i.Descriptors, 0, math.MaxInt32),
-		checkDuration("ingress.address_ttl", i.AddressTTL, shortest),
-		checkDuration("ingress.grace", i.Grace, shortest),
-		checkDuration("ingress.touch", i.Touch, shortest),
-		checkDuration("ingress.apply", i.Apply, shortestApply),
-		checkDuration("ingress.revocation", i.Revocation, shortest),
-		checkDuration("ingress.retry_window", i.RetryWindow, shortest),
-		checkDuration("ingress.reuse_window", i.ReuseWindow, shortest),
+		checkDuration("ingress.address_ttl", i.AddressTTL, minDuration),
+		checkDuration("ingress.grace", i.Grace, minDuration),
+		checkDuration("ingress.touch", i.Touch, minDuration),
+		checkDuration("ingress.apply", i.Apply, minApply),
+		checkDuration("ingress.revocation", i.Revocation, minDuration),
+		checkDuration("ingress.retry_window", i.RetryWindow, minDuration),
+		checkDuration("ingress.reuse_window", i.ReuseWindow, minDuration),
 	)
 }
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -10,8 +10,8 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Load reads, completes and checks the settings in the file. The error is one
-// line that names the key.
+// Load reads and validates the settings in the file and fills in defaults. The error is
+// a single line that names the key.
 func Load(path string) (Config, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -24,7 +24,7 @@
 	return cfg, nil
 }
 
-// Parse reads, completes and checks settings in TOML.
+// Parse reads and validates settings in TOML and fills in defaults.
 func Parse(raw []byte) (Config, error) {
 	cfg := Default()
 	decoder := toml.NewDecoder(bytes.NewReader(raw)).DisallowUnknownFields()
@@ -38,14 +38,14 @@
 	return cfg, nil
 }
 
-// complete fills in what follows from other settings.
+// complete fills in the default of instance.id, which is derived from other settings.
 func (c *Config) complete() {
 	if c.Instance.ID == "" {
 		c.Instance.ID = c.Instance.Place + "/" + c.Listen.callerAddress()
 	}
 }
 
-// callerAddress is where callers connect to.
+// callerAddress returns the address to which callers connect.
 func (l Listen) callerAddress() string {
 	if l.AdvertiseCaller != "" {
 		return l.AdvertiseCaller
@@ -53,8 +53,8 @@
 	return l.Caller
 }
 
-// describe turns the library's errors, some of which run over several lines,
-// into one line with the key and the place in the file.
+// describe converts the library's errors, some of which have several lines, to a single
+// line with the key and the line number in the file.
 func describe(err error) error {
 	var unknown *toml.StrictMissingError
 	if errors.As(err, &unknown) && len(unknown.Errors) > 0 {
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// Bounds of the settings.
+// Limits of the settings.
 const (
 	maxKB       = 1 << 20
 	maxCount    = 1 << 20
 	maxShards   = 4096
-	maxWindowKB = 900 // the platform holds values up to a megabyte
-	shortest    = time.Millisecond
-	longest     = 30 * 24 * time.Hour
+	maxWindowKB = 900 // the platform stores values of up to one megabyte
+	minDuration = time.Millisecond
+	maxDuration = 30 * 24 * time.Hour
 )
 
 // Validate checks the settings. The error names the key.
@@ -31,39 +31,39 @@
 	return c.validateID()
 }
 
-// validateID insists on an id where the address makes none: with port 0 all
-// instances of a machine would have the same, and each would take the others'
-// heartbeats for its own.
+// validateID requires an id where none can be derived from the address: with port 0 all
+// instances on a host would get the same id, and each would take the others' heartbeats
+// for its own.
 func (c *Config) validateID() error {
 	if c.Ingress.Enabled() {
 		if c.Instance.ID == "" {
-			return fault("instance.id", "is missing; an instance that serves plain requests needs a name")
+			return settingError("instance.id", "is missing; an instance that serves plain requests needs an id")
 		}
 		return nil
 	}
 	port := netip.MustParseAddrPort(c.Listen.callerAddress()).Port()
 	if c.Instance.ID == "" && port == 0 {
-		return fault("instance.id", "is missing; with port 0 in listen.caller the instance needs a name of its own")
+		return settingError("instance.id", "is missing; with port 0 in listen.caller the instance needs an explicit id")
 	}
 	return nil
 }
 
-func fault(key, format string, args ...any) error {
+func settingError(key, format string, args ...any) error {
 	return fmt.Errorf("%s: %s", key, fmt.Sprintf(format, args...))
 }
 
 func (i Instance) validate() error {
 	if i.Place == "" {
-		return fault("instance.place", "is missing; name the availability zone of this instance")
+		return settingError("instance.place", "is missing; name the availability zone of this instance")
 	}
 	if i.Region == "" {
-		return fault("instance.region", "is missing; name the region of this instance")
+		return settingError("instance.region", "is missing; name the region of this instance")
 	}
 	return nil
 }
 
-// validateListen checks the listeners. An instance that serves plain requests
-// has those of [ingress] instead of the caller and admin API.
+// validateListen checks the listen addresses. An instance that serves plain requests
+// uses those of [ingress] instead of the caller and admin API.
 func (c *Config) validateListen() error {
 	if c.Ingress.Enabled() {
 		return checkAddress("listen.peer", c.Listen.Peer, true)
@@ -93,12 +93,12 @@
 	return nil
 }
 
-// checkAdvertised refuses an address that nobody else could connect to, which
-// would show only as requests that fail from other instances.
+// checkAdvertised rejects an address to which others cannot connect. Otherwise the
+// mistake would show only as failed requests from other instances.
 func checkAdvertised(key, value, listen string) error {
 	if value == "" {
 		if netip.MustParseAddrPort(listen).Addr().IsUnspecified() {
-			return fault(key, "is missing; %s listens on every address, so name the one that others connect to", listen)
+			return settingError(key, "is missing; %s listens on every address, so give the one that others connect to", listen)
 		}
 		return nil
 	}
@@ -106,35 +106,35 @@
 		return err
 	}
 	if netip.MustParseAddrPort(value).Addr().IsUnspecified() {
-		return fault(key, "%q is no address that others could connect to", value)
+		return settingError(key, "%q is not an address to which others can connect", value)
 	}
 	return nil
 }
 
 func checkAddress(key, value string, zeroPort bool) error {
 	if value == "" {
-		return fault(key, "is missing; give an IP number with a port")
+		return settingError(key, "is missing; give an IP address with a port")
 	}
 	addr, err := netip.ParseAddrPort(value)
 	if err != nil {
-		return fault(key, "%q is not an IP number with a port, such as 10.0.0.1:7000", value)
+		return settingError(key, "%q is not an IP address with a port, such as 10.0.0.1:7000", value)
 	}
 	if addr.Port() == 0 && !zeroPort {
-		return fault(key, "%q has port 0", value)
+		return settingError(key, "%q has port 0", value)
 	}
 	return nil
 }
 
 func (p Platform) validate() error {
 	if len(p.Endpoints) == 0 {
-		return fault("platform.endpoints", "is missing; give at least one address of the platform")
+		return settingError("platform.endpoints", "is missing; give at least one address of the platform")
 	}
 	for i, endpoint := range p.Endpoints {
 		if err := checkEndpoint(fmt.Sprintf("platform.endpoints[%d]", i), endpoint); err != nil {
 			return err
 		}
 	}
-	return firstFault(
+	return firstError(
 		checkInt("platform.writes_per_second", p.WritesPerSecond, 1, maxCount),
 		checkInt("platform.reads_per_second", p.ReadsPerSecond, 1, maxCount),
 		checkInt("platform.watches", p.Watches, 1, maxCount),
@@ -144,10 +144,10 @@
 func checkEndpoint(key, value string) error {
 	u, err := url.Parse(value)
 	if err != nil || (u.Scheme != "http" && u.Scheme != "https") {
-		return fault(key, "%q is not of the form http://IP:port or https://IP:port", value)
+		return settingError(key, "%q is not of the form http://IP:port or https://IP:port", value)
 	}
 	if u.User != nil || u.RawQuery != "" || u.Fragment != "" || (u.Path != "" && u.Path != "/") {
-		return fault(key, "must hold scheme, IP number and port only")
+		return settingError(key, "must consist of scheme, IP address and port only")
 	}
 	return checkAddress(key, u.Host, false)
 }
@@ -159,7 +159,7 @@
 		}
 	}
 	if t.Peer.Enabled() && t.Peer.ClientCAFile == "" {
-		return fault("tls.peer.client_ca_file", "is missing; instances prove themselves to one another with certificates of this CA")
+		return settingError("tls.peer.client_ca_file", "is missing; instances authenticate to each other with certificates of this CA")
 	}
 	return nil
 }
@@ -176,11 +176,11 @@
 func (f TLSFiles) validate(key string) error {
 	switch {
 	case f.CertFile != "" && f.KeyFile == "":
-		return fault(key+".key_file", "is missing, but cert_file is given")
+		return settingError(key+".key_file", "is missing, but cert_file is given")
 	case f.CertFile == "" && f.KeyFile != "":
-		return fault(key+".cert_file", "is missing, but key_file is given")
+		return settingError(key+".cert_file", "is missing, but key_file is given")
 	case f.CertFile == "" && f.ClientCAFile != "":
-		return fault(key+".cert_file", "is missing, but client_ca_file is given")
+		return settingError(key+".cert_file", "is missing, but client_ca_file is given")
 	}
 	return nil
 }
@@ -202,7 +202,7 @@
 }
 
 func (l Limits) validate() error {
-	return firstFault(
+	return firstError(
 		checkInt("limits.max_body_kb", l.MaxBodyKB, 1, maxKB),
 		checkInt("limits.max_answer_kb", l.MaxAnswerKB, 1, maxKB),
 		checkInt("limits.max_in_flight", l.MaxInFlight, 1, maxCount),
@@ -211,21 +211,21 @@
 }
 
 func (t Timings) validate() error {
-	return firstFault(
-		checkDuration("timings.heartbeat", t.Heartbeat, shortest),
-		checkDuration("timings.keep", t.Keep, shortest),
-		checkDuration("timings.body_timeout", t.BodyTimeout, shortest),
-		checkDuration("timings.write_timeout", t.WriteTimeout, shortest),
+	return firstError(
+		checkDuration("timings.heartbeat", t.Heartbeat, minDuration),
+		checkDuration("timings.keep", t.Keep, minDuration),
+		checkDuration("timings.body_timeout", t.BodyTimeout, minDuration),
+		checkDuration("timings.write_timeout", t.WriteTimeout, minDuration),
 		checkDuration("timings.stop_grace", t.StopGrace, 0),
-		checkDuration("timings.peer_heartbeat", t.PeerHeartbeat, shortest),
+		checkDuration("timings.peer_heartbeat", t.PeerHeartbeat, minDuration),
 		checkDuration("timings.fence_after", t.FenceAfter, t.PeerHeartbeat.Duration),
 		checkDuration("timings.lease_ttl", t.LeaseTTL, time.Second),
-		checkDuration("timings.file_check", t.FileCheck, shortest),
+		checkDuration("timings.file_check", t.FileCheck, minDuration),
 	)
 }
 
 func (r Routing) validate() error {
-	return firstFault(
+	return firstError(
 		checkShare("routing.retry_budget", r.RetryBudget),
 		checkInt("routing.max_attempts", r.MaxAttempts, 1, 100),
 		checkShare("routing.max_ejected", r.MaxEjected),
@@ -233,7 +233,7 @@
 }
 
 func (c Claims) validate() error {
-	return firstFault(
+	return firstError(
 		checkInt("claims.shards", c.Shards, 1, maxShards),
 		checkInt("claims.window_kb", c.WindowKB, 1, maxWindowKB),
 		checkDuration("claims.flush", c.Flush, 0),
@@ -246,15 +246,15 @@
 	switch l.Level {
 	case "debug", "info", "warn", "error":
 	default:
-		return fault("log.level", "%q is none of debug, info, warn, error", l.Level)
+		return settingError("log.level", "%q is none of debug, info, warn, error", l.Level)
 	}
 	if l.Format != FormatLogfmt && l.Format != FormatJSON {
-		return fault("log.format", "%q is none of %s, %s", l.Format, FormatLogfmt, FormatJSON)
+		return settingError("log.format", "%q is none of %s, %s", l.Format, FormatLogfmt, FormatJSON)
 	}
 	return nil
 }
 
-func firstFault(faults ...error) error {
+func firstError(faults ...error) error {
 	for _, err := range faults {
 		if err != nil {
 			return err
@@ -265,24 +265,24 @@
 
 func checkInt(key string, value, least, most int) error {
 	if value < least || value > most {
-		return fault(key, "%d is not between %d and %d", value, least, most)
+		return settingError(key, "%d is not between %d and %d", value, least, most)
 	}
 	return nil
 }
 
 func checkDuration(key string, value Duration, least time.Duration) error {
 	if err := value.Err(); err != nil {
-		return fault(key, "%v", err)
+		return settingError(key, "%v", err)
 	}
-	if value.Duration < least || value.Duration > longest {
-		return fault(key, "%s is not between %s and %s", value, least, longest)
+	if value.Duration < least || value.Duration > maxDuration {
+		return settingError(key, "%s is not between %s and %s", value, least, maxDuration)
 	}
 	return nil
 }
 
 func checkShare(key string, value float64) error {
 	if !(value >= 0 && value <= 1) { // also refuses NaN
-		return fault(key, "%g is not between 0 and 1", value)
+		return settingError(key, "%g is not between 0 and 1", value)
 	}
 	return nil
 }
