--- a/internal/defaults/defaults.go
+++ b/internal/defaults/defaults.go
@@ -1,7 +1,7 @@
-// Package defaults fills in the options that a caller left out.
+// Package defaults fills in default values of options.
 package defaults
 
-// Set makes fallback of a value that is its type's zero.
+// Set sets *value to fallback if it is the zero value of its type.
 func Set[T comparable](value *T, fallback T) {
 	var zero T
 	if *value == zero {
@@ -9,13 +9,13 @@
 	}
 }
 
-// Number is a type of which a default may stand for what is not above 0.
+// Number is the constraint of the numeric types that Positive supports.
 type Number interface {
 	~int | ~int64 | ~uint64 | ~float64
 }
 
-// Positive makes fallback of a number that is not above 0. It is for options
-// where a negative number means no more than that none was given.
+// Positive sets *value to fallback if it is 0 or negative. It is for options where a
+// negative number has no meaning of its own.
 func Positive[N Number](value *N, fallback N) {
 	if *value <= 0 {
 		*value = fallback
