--- a/internal/filewatch/filewatch.go
+++ b/internal/filewatch/filewatch.go
@@ -1,7 +1,6 @@
-// Package filewatch has files read again when they were replaced: token files,
-// certificates. It looks at their times and sizes at a fixed period, since
-// notifications of the kernel are not to be had on every file system that
-// secrets are mounted from.
+// Package filewatch reloads files, such as token files and certificates, when they are
+// replaced. It polls their modification times and sizes, since kernel notifications are
+// not available on every file system from which secrets are mounted.
 package filewatch
 
 import (
@@ -15,20 +14,22 @@
 	"lynxhill.example/lynxhill/internal/defaults"
 )
 
-// DefaultEvery is how often files are looked at if nothing else is said.
-const DefaultEvery = 2 * time.Second
+// DefaultInterval is the default polling interval.
+const DefaultInterval = 2 * time.Second
 
-// Files are the names of at most three files that are read together. An empty
-// name stands for no file.
+// Files holds the names of at most three files that are loaded together. Empty names are
+// ignored.
 type Files [3]string
 
-// State tells whether any of the files was replaced: compare two with ==.
+// State holds the modification times and sizes of the files. If two states differ, at
+// least one of the files was replaced.
 type State [3]struct {
 	modified time.Time
 	size     int64 // bytes
 }
 
-// State looks at the files. One that cannot be looked at counts as absent.
+// State returns the current state of the files. A file whose state cannot be read counts
+// as absent.
 func (f Files) State() State {
 	var s State
 	for i, name := range f {
@@ -42,29 +43,29 @@
 	return s
 }
 
-// Watch says what to look at and what to do about it.
+// Watch holds the files to poll and the functions to call.
 type Watch struct {
 	Files Files
-	Every time.Duration // not above 0 = DefaultEvery
+	Every time.Duration // not above 0 = DefaultInterval
 	Clock clock.Clock   // nil = real time
-	// Used returns the state of the files whose content is in use, taken
-	// before they were read: a file that is replaced meanwhile is then seen
-	// at the next look.
+	// Used returns the state of the files whose content is in use. The state has to be
+	// taken before the files are read: a file that is replaced during the reading is
+	// then detected at the next poll.
 	Used func() State
-	// Reload reads the files and takes their content into use.
+	// Reload reads the files and puts their content to use.
 	Reload func() error
-	// Done is told of each Reload; err is why the files could not be used.
+	// Done is called after each Reload with its error, nil if the files could be used.
 	Done func(err error)
 }
 
-// Run reloads the files whenever one was replaced, until ctx ends. While none of
-// them is there, nothing is read, and what is in use stays so.
+// Run polls the files until ctx ends and reloads them whenever one was replaced. If the
+// files are gone, it reloads nothing, and the content in use stays in use.
 func (w Watch) Run(ctx context.Context) {
 	if w.Files == (Files{}) {
 		<-ctx.Done()
 		return
 	}
-	defaults.Positive(&w.Every, DefaultEvery)
+	defaults.Positive(&w.Every, DefaultInterval)
 	if w.Clock == nil {
 		w.Clock = quartz.NewReal()
 	}
@@ -76,16 +77,16 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			failed = w.look(failed)
+			failed = w.poll(failed)
 		}
 	}
 }
 
-// look reloads replaced files; it returns the state of files that could not be
-// used, so that one bad set is told of once. While files that belong together
-// are replaced one after the other they may not match for a moment; the next
-// look sees the second file change and succeeds.
-func (w Watch) look(failed State) State {
+// poll reloads the files if one was replaced. It returns the state of the last files that
+// could not be used, so that each invalid set is reported only once. Files that belong
+// together may not match for a moment while they are replaced one after the other; the
+// next poll detects the change of the second file and succeeds.
+func (w Watch) poll(failed State) State {
 	now := w.Files.State()
 	if now == w.Used() || now == failed {
 		return failed
--- a/internal/filewatch/filewatch_test.go
+++ b/internal/filewatch/filewatch_test.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// Symptom: a replaced file is not taken, or a bad one fills the log.
-// Events: a file is replaced by a bad one, which stays; then by a good one; in
-// the end it is removed, which is no reason to read. Cause: looks that compare with the wrong state.
+// Guards against a replaced file that is not loaded, and against an invalid file that is
+// reported at every poll, because a poll compares with the wrong state. A removed file
+// is not reloaded.
 func TestRunReloadsWhatWasReplaced(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "file")
 	steps := []struct {
@@ -46,7 +46,7 @@
 				used = w.Files.State()
 				go w.Run(t.Context())
 			}
-			time.Sleep(5*DefaultEvery + DefaultEvery/2)
+			time.Sleep(5*DefaultInterval + DefaultInterval/2)
 			synctest.Wait()
 			if reloads != step.reloads || refused != step.refused {
 				t.Errorf("after %q: %d reloads, %d refused, want %+v", step.text, reloads, refused, step)
