--- a/cmd/lynxhilld/daemon.go
+++ b/cmd/lynxhilld/daemon.go
@@ -13,8 +13,8 @@
 	"lynxhill.example/lynxhill/platform"
 )
 
-// newDaemon makes the instance. It opens the listeners, so that an address of
-// the settings that can't be listened on shows here.
+// newDaemon creates the instance. It opens the listeners, so that it returns an error for
+// an address in the settings that cannot be listened on.
 func newDaemon(cfg config.Config, logger *event.Logger) (runner, error) {
 	if cfg.Ingress.Enabled() {
 		return newEdge(cfg, logger)
@@ -26,7 +26,7 @@
 	return instance, nil
 }
 
-// newEdge makes an instance that serves plain requests on the users' platform.
+// newEdge creates an instance that serves plain requests on the users' platform.
 func newEdge(cfg config.Config, logger *event.Logger) (runner, error) {
 	endpoint, err := url.Parse(cfg.Platform.Endpoints[0])
 	if err != nil {
--- a/cmd/lynxhilld/main.go
+++ b/cmd/lynxhilld/main.go
@@ -38,7 +38,7 @@
 	os.Exit(realMain(os.Args[1:], os.Stdout, os.Stderr))
 }
 
-// output is where commands print.
+// output is the writer to which commands print.
 type output struct{ io.Writer }
 
 func realMain(args []string, stdout, stderr io.Writer) int {
@@ -88,12 +88,12 @@
 	if err != nil {
 		return err
 	}
-	_, err = fmt.Fprintf(out, "%s: usable; instance %s in place %s, region %s\n", c.Config, cfg.Instance.ID, cfg.Instance.Place, cfg.Instance.Region)
+	_, err = fmt.Fprintf(out, "%s: usable; instance %s in zone %s, region %s\n", c.Config, cfg.Instance.ID, cfg.Instance.Place, cfg.Instance.Region)
 	return err
 }
 
-// load reads the settings and tries the files that they name, so that a wrong
-// file shows before the daemon serves with it.
+// load reads the settings and checks the files that they name, so that an invalid file is
+// reported before the daemon serves with it.
 func load(path string) (config.Config, error) {
 	cfg, err := config.Load(path)
 	if err == nil {
@@ -105,13 +105,13 @@
 	return cfg, nil
 }
 
-// tokenCmd prints a token.
+// tokenCmd prints a new token and its hash.
 type tokenCmd struct{}
 
 // Run implements the command.
 func (tokenCmd) Run(out output) error {
 	token, hash := auth.NewToken()
-	_, err := fmt.Fprintf(out, "token = %q  # give this to its holder; it is kept nowhere\nhash = %q   # this goes into the settings\n", token, hash)
+	_, err := fmt.Fprintf(out, "token = %q  # give this to its holder; it is not stored\nhash = %q   # put this into the settings\n", token, hash)
 	return err
 }
 
--- a/cmd/lynxhilld/main_test.go
+++ b/cmd/lynxhilld/main_test.go
@@ -62,8 +62,8 @@
 	}
 }
 
-// Symptom: an instance runs with settings that nobody meant. Cause: run reads
-// the settings in another way than check.
+// Guards against an instance that runs with invalid settings because run reads them in
+// another way than check.
 func TestRunRefusesUnusableSettings(t *testing.T) {
 	noAddress := strings.Replace(settings, `caller = "127.0.0.1:0"`, `caller = "192.0.2.1:1"`, 1)
 	for _, content := range []string{settings + "colour = 1\n", noAddress} {
@@ -98,7 +98,7 @@
 	}
 }
 
-// instance is a daemon that stops when it is told.
+// instance is a daemon whose Run ends when release receives its result.
 type instance struct {
 	stopping chan struct{}
 	release  chan error
@@ -128,9 +128,9 @@
 	})
 }
 
-// Symptom: a planned stop cuts requests in flight. Events: a supervisor sends
-// SIGTERM more than once while the instance finishes its requests. Cause: a
-// program that takes the second signal for impatience.
+// Guards against a planned stop that cuts requests in flight: a supervisor may send
+// SIGTERM more than once while the instance finishes its requests, and the second
+// SIGTERM must not end the process.
 func TestOnlyASecondInterruptQuits(t *testing.T) {
 	tests := []struct {
 		name    string
--- a/cmd/lynxhilld/run.go
+++ b/cmd/lynxhilld/run.go
@@ -23,7 +23,7 @@
 	Config string `short:"c" required:"" placeholder:"FILE" help:"Settings in TOML."`
 }
 
-// runner is what the daemon is to this command.
+// runner is the part of an instance that this command uses.
 type runner interface {
 	// Run serves until ctx ends, then stops gracefully.
 	Run(ctx context.Context) error
@@ -35,10 +35,11 @@
 	if err != nil {
 		return err
 	}
-	// A reader of the log that goes away must not take the instance along: a
-	// write to it would end the process by SIGPIPE, which shows as an instance
-	// that is gone without a last line whenever the collector restarts. Ignored,
-	// the write fails and the lines are counted as left out.
+	// The instance must survive the end of the process that reads its log. With the
+	// default handling of SIGPIPE a write to the closed pipe would end the process: the
+	// instance would disappear without a last log line whenever the log collector
+	// restarts. With SIGPIPE ignored, the write fails and the lines are counted as
+	// dropped.
 	signal.Ignore(syscall.SIGPIPE)
 	logs := openLog(cfg, logOutput(cfg))
 	defer logs.close()
@@ -47,8 +48,8 @@
 	if err != nil {
 		return err
 	}
-	// go-zero asks for its signals in a goroutine of its own, which may run
-	// after the first call in main: a SIGUSR1 then writes a file.
+	// go-zero registers its signal handlers in a separate goroutine, which may run after
+	// the first call of DisarmGoZero in main: a SIGUSR1 would then write a file.
 	httpserver.DisarmGoZero()
 	signals := make(chan os.Signal, 8)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
@@ -57,16 +58,16 @@
 	return runUntilSignal(instance, signals)
 }
 
-// followSettings has the settings file read again while the instance runs, if
-// that takes changed settings. The returned function ends it.
+// followSettings starts to reload the settings file when it changes, if the instance
+// supports this. The returned function stops it.
 func (c runCmd) followSettings(cfg config.Config, instance runner, logger *event.Logger) func() {
-	taking, ok := instance.(reloader)
+	reloadable, ok := instance.(reloader)
 	if !ok {
 		return func() {}
 	}
 	file := &settingsFile{
 		path: c.Config, every: cfg.Timings.FileCheck.Duration, clock: quartz.NewReal(),
-		logger: logger.With("instance", cfg.Instance.ID), instance: taking,
+		logger: logger.With("instance", cfg.Instance.ID), instance: reloadable,
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	hangups := make(chan os.Signal, 1)
@@ -78,17 +79,18 @@
 	}
 }
 
-// errInterrupted ends the program at once.
+// errInterrupted is the error of a second SIGINT; the program exits without waiting for
+// the stop.
 type errInterrupted struct{}
 
 func (errInterrupted) Error() string { return "interrupted twice: requests in flight were cut" }
 
-// runUntilSignal runs the daemon until the first SIGTERM or SIGINT, which stops
-// it gracefully. A supervisor that repeats SIGTERM must not cut requests in
-// flight, so more of them change nothing; a person who presses Ctrl-C again
-// means it, so the second SIGINT quits. SIGHUP, which would end the process by
-// default when its terminal closes, changes nothing here: token and certificate
-// files are read again by themselves, and followSettings hears the signal too.
+// runUntilSignal runs the daemon until the first SIGTERM or SIGINT, which stops it
+// gracefully. Further SIGTERMs are ignored, since a supervisor that repeats SIGTERM must
+// not cut requests in flight. A second SIGINT ends the program at once, since a user who
+// presses Ctrl-C twice wants that. SIGHUP, which by default would end the process when
+// its terminal closes, is ignored here: token and certificate files are polled for
+// changes, and followSettings receives the signal separately.
 func runUntilSignal(instance runner, signals <-chan os.Signal) error {
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
@@ -114,15 +116,15 @@
 	}
 }
 
-// flushTime bounds how long the end of the process waits for the output to
-// take the last lines. A reader of the log that hangs must not hold up a stop.
+// flushTime is the longest time that the end of the process waits until the last lines
+// are written. A hanging reader of the log must not delay a stop.
 const flushTime = 200 * time.Millisecond
 
-// logOutput returns where log lines go. An instance that serves plain requests
-// writes some lines for each request that fails; they are what it has to say,
-// and a collector reads them from the standard output, so that the standard
-// error holds only why it could not start or crashed. Other instances write
-// few lines, and keep to the standard error, where their operators read them.
+// logOutput returns the writer of log lines. An instance that serves plain requests
+// writes some lines for each failed request. Those are its regular output, which a
+// collector reads from the standard output; the standard error then contains only the
+// reason for a failed start or a crash. Other instances write few lines and use the
+// standard error, where their operators read them.
 func logOutput(cfg config.Config) io.Writer {
 	if cfg.Ingress.Enabled() {
 		return os.Stdout
@@ -130,13 +132,13 @@
 	return os.Stderr
 }
 
-// openedLog is the logger with what its lines pass through.
+// openedLog is a logger with the sink to which it writes.
 type openedLog struct {
 	logger *event.Logger
 	sink   *logsink.Sink
 }
 
-// openLog returns the log of the settings, which never holds up its callers.
+// openLog returns the log that the settings describe. Logging never blocks the caller.
 func openLog(cfg config.Config, out io.Writer) openedLog {
 	sink := logsink.New(out, logsink.Options{Notes: func(w io.Writer) *event.Logger {
 		return newLogger(newFormat(cfg.Log, w)).With("instance", cfg.Instance.ID)
@@ -145,7 +147,7 @@
 	return openedLog{logger: newLogger(level.NewFilter(newFormat(cfg.Log, sink), allowed)), sink: sink}
 }
 
-// close gives the output a while to take the last lines.
+// close flushes the log with a timeout of flushTime and closes it.
 func (l openedLog) close() {
 	ctx, cancel := context.WithTimeout(context.Background(), flushTime)
 	defer cancel()
@@ -161,9 +163,9 @@
 	return log.NewLogfmtLogger(out)
 }
 
-// newLogger returns a logger whose lines hold their time. It is added outside
-// of a filter of levels, so that lines begin with the level: package logsink
-// and lynxctl explain know them by that.
+// newLogger returns a logger that adds the time to each line. The time is added outside
+// of the level filter, so that lines begin with the level: package logsink and lynxctl
+// explain recognise lines by that.
 func newLogger(base log.Logger) *event.Logger {
 	return event.NewLogger(log.With(base, "ts", log.DefaultTimestampUTC))
 }
--- a/cmd/lynxhilld/run_test.go
+++ b/cmd/lynxhilld/run_test.go
@@ -48,9 +48,9 @@
 	}
 }
 
-// Symptom: a storm of information left out warnings, and lynxctl explain could
-// read no line. Cause: lines began with their time instead of their level,
-// which is how both know them.
+// Guards against lines that begin with their time instead of their level, by which the
+// log sink and lynxctl explain recognise them: many info lines then caused warnings to
+// be dropped, and lynxctl explain could not parse any line.
 func TestLinesAreKnownByTheirLevel(t *testing.T) {
 	for _, format := range []string{config.FormatLogfmt, config.FormatJSON} {
 		t.Run(format, func(t *testing.T) {
@@ -58,7 +58,7 @@
 			cfg := config.Config{Instance: config.Instance{ID: "edge-1"}, Log: config.Log{Level: "info", Format: format}}
 			logs := openLog(cfg, &out)
 			info := strings.Repeat("x", 50<<10)
-			for range 20 { // more than the sink takes at once
+			for range 20 { // more than the sink accepts at once
 				logs.logger.Log(event.LibraryNote, "text", info) // below the level
 				logs.logger.Log(event.DaemonStarted, "text", info)
 				if err := logs.sink.Flush(t.Context()); err != nil {
@@ -75,7 +75,7 @@
 	}
 }
 
-// countEvents reads the lines as lynxctl explain does.
+// countEvents parses the lines as lynxctl explain does and counts them by event.
 func countEvents(t *testing.T, text string) map[string]int {
 	t.Helper()
 	names := make(map[string]int)
@@ -89,7 +89,7 @@
 	return names
 }
 
-// Symptom: an instance did not end while the collector of its log hung.
+// Guards against an instance that does not end while its log collector hangs.
 func TestAStopDoesNotWaitForTheReaderOfTheLog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		reader, writer := io.Pipe()
@@ -106,10 +106,10 @@
 
 const closedReaderEnv = "LYNXHILLD_TEST_CLOSED_READER"
 
-// Symptom: an instance was gone without a last line when its collector
-// restarted. Cause: a write to a standard output that nobody reads any more
-// ends a process that does not ignore SIGPIPE. The test runs in a process of
-// its own, as this holds for the standard output and error only.
+// Guards against an instance that ends without a last line when its log collector
+// restarts: a write to a standard output whose reader has ended kills a process that
+// does not ignore SIGPIPE. The test runs in a process of its own, since this happens
+// only with the standard output and the standard error.
 func TestAReaderOfTheLogThatGoesDoesNotEndTheInstance(t *testing.T) {
 	if path := os.Getenv(closedReaderEnv); path != "" {
 		runWithClosedReader(path)
@@ -125,17 +125,18 @@
 	child := exec.Command(os.Args[0], "-test.run=^"+t.Name()+"$")
 	child.Env = append(os.Environ(), closedReaderEnv+"="+path)
 	child.Stdout = writer
-	var told bytes.Buffer
-	child.Stderr = &told
-	if err := child.Run(); err != nil || told.String() != "" {
-		t.Fatalf("%v; %s", err, told.String())
+	var stderr bytes.Buffer
+	child.Stderr = &stderr
+	if err := child.Run(); err != nil || stderr.String() != "" {
+		t.Fatalf("%v; %s", err, stderr.String())
 	}
 }
 
-// runWithClosedReader tells on the standard error what is not as it should be.
+// runWithClosedReader runs in the child process. It reports failed checks on the standard
+// error.
 func runWithClosedReader(path string) {
 	if err := (runCmd{Config: path}).Run(); err == nil {
-		os.Stderr.WriteString("the instance started, although its listen address can't be used")
+		os.Stderr.WriteString("the instance started although its listen address cannot be used")
 	}
 	if _, err := os.Stdout.WriteString("level=info\n"); !errors.Is(err, syscall.EPIPE) {
 		fmt.Fprintf(os.Stderr, "a write to the closed standard output: %v", err)
--- a/cmd/lynxhilld/settings.go
+++ b/cmd/lynxhilld/settings.go
@@ -14,38 +14,38 @@
 	"lynxhill.example/lynxhill/internal/filewatch"
 )
 
-// reloader is an instance that takes changed settings while it runs.
+// reloader is an instance that can apply changed settings while it runs.
 type reloader interface {
-	// Reload puts in force what can change, and returns the keys that did and
-	// those that take effect at the next start.
+	// Reload applies the settings that can change at run time. It returns the keys that
+	// changed and those that take effect at the next start.
 	Reload(cfg config.Config) (changed, restart []string)
 }
 
-// settingsFile reads the settings file again when it is told to, and when the
-// file has changed.
+// settingsFile reloads the settings file on SIGHUP and when the file has changed.
 //
-// What goes wrong without the second: whoever changes the file may send no
-// signal, and the instance goes on with a budget or a bound that no longer
-// holds until it is restarted. The kernel's notices of changes do not exist
-// everywhere, so the file is looked at. A file that cannot be read or is wrong
-// leaves the settings in force, since half-written ones are met that way.
+// The file is checked for changes because whoever changes it may not send a signal, and
+// the instance would then use an outdated budget or limit until it is restarted. The file
+// is polled, since kernel notifications are not available everywhere. If the file is
+// unreadable or invalid, the settings in force stay in force, since the file may have
+// been read while it was being written.
 type settingsFile struct {
 	path     string
-	every    time.Duration // between two looks
+	every    time.Duration // polling interval
 	clock    clock.Clock
 	logger   *event.Logger
 	instance reloader
 
-	state   filewatch.State // of content
-	content []byte          // as last read
-	looks   int
+	state   filewatch.State // of the file when content was read
+	content []byte          // of the last reading
+	polls   int
 }
 
-// readEvery is after how many looks the content is read although time and size
-// are the same: a clock that was set back may give two contents one time.
-const readEvery = 5
+// forceReadEvery is the number of polls after which the content is read even if time and size
+// are unchanged: after the clock was set back, two versions of the file may have the same
+// modification time.
+const forceReadEvery = 5
 
-// run looks at the file until ctx ends.
+// run polls the file until ctx ends and reads it at each signal.
 func (f *settingsFile) run(ctx context.Context, hangups <-chan os.Signal) {
 	tick := f.clock.NewTicker(f.every)
 	defer tick.Stop()
@@ -56,31 +56,31 @@
 		case <-hangups:
 			f.read(true)
 		case <-tick.C:
-			f.look()
+			f.poll()
 		}
 	}
 }
 
-// look reads the file if it may have changed.
-func (f *settingsFile) look() {
-	f.looks++
-	if f.stat() != f.state || f.looks%readEvery == 0 {
+// poll reads the file if it may have changed.
+func (f *settingsFile) poll() {
+	f.polls++
+	if f.stat() != f.state || f.polls%forceReadEvery == 0 {
 		f.read(false)
 	}
 }
 
 func (f *settingsFile) stat() filewatch.State { return filewatch.Files{f.path}.State() }
 
-// read reads the file and puts its settings in force. One that says what it
-// said before is not looked into, unless asked is set. The state is taken first:
-// a change during the reading is met at the next look.
-func (f *settingsFile) read(asked bool) {
+// read reads the file and applies its settings. Unchanged content is skipped unless
+// forced is set. The state is taken first, so that a change during the reading is
+// detected at the next poll.
+func (f *settingsFile) read(forced bool) {
 	f.state = f.stat()
 	content, err := os.ReadFile(f.path)
 	if err != nil {
 		content = fmt.Append(nil, "unreadable: ", err)
 	}
-	if bytes.Equal(content, f.content) && !asked {
+	if bytes.Equal(content, f.content) && !forced {
 		return
 	}
 	f.content = content
@@ -92,10 +92,10 @@
 		f.logger.Log(event.SettingsUnusable, "file", f.path, "err", err)
 		return
 	}
-	f.apply(cfg, asked)
+	f.apply(cfg, forced)
 }
 
-// parse reads settings as the start does.
+// parse parses and checks settings in the same way as load.
 func parse(content []byte) (config.Config, error) {
 	cfg, err := config.Parse(content)
 	if err == nil {
@@ -104,10 +104,10 @@
 	return cfg, err
 }
 
-// apply hands the settings to the instance and says what became of them.
-func (f *settingsFile) apply(cfg config.Config, asked bool) {
+// apply passes the settings to the instance and logs the result.
+func (f *settingsFile) apply(cfg config.Config, forced bool) {
 	changed, restart := f.instance.Reload(cfg)
-	if len(changed) > 0 || asked {
+	if len(changed) > 0 || forced {
 		f.logger.Log(event.SettingsReloaded, "file", f.path, "changed", strings.Join(changed, ","))
 	}
 	if len(restart) > 0 {
--- a/cmd/lynxhilld/settings_test.go
+++ b/cmd/lynxhilld/settings_test.go
@@ -15,10 +15,10 @@
 	"lynxhill.example/lynxhill/internal/config"
 )
 
-// taking is an instance that keeps what it is given.
-type taking []config.Config
+// settingsRecorder is an instance that records the settings that it is given.
+type settingsRecorder []config.Config
 
-func (k *taking) Reload(cfg config.Config) (changed, restart []string) {
+func (k *settingsRecorder) Reload(cfg config.Config) (changed, restart []string) {
 	*k = append(*k, cfg)
 	if cfg.Ingress.RetryRatio == 0.5 {
 		changed = []string{"ingress.retry_ratio"}
@@ -31,23 +31,24 @@
 
 const plain = settings + "[ingress]\nlisten = \"127.0.0.1:8000\"\nreadiness = \"127.0.0.1:8001\"\n"
 
-// TestSettingsFileIsReadAgain. Symptom: an instance goes on with settings that no longer hold, or ends up with ones
-// that nobody meant. Events: the file changes with a signal or without, keeps its time and size, is half written, goes.
-// Cause: it is not read again, or what is wrong is put in force.
+// TestSettingsFileIsReadAgain guards against an instance that continues with outdated
+// settings because a changed file is not read again, and against invalid settings that
+// are applied. The file changes with or without a signal, keeps its time and size, is
+// half written, or is removed.
 func TestSettingsFileIsReadAgain(t *testing.T) {
 	const half, more = "retry_ratio = 0.5\n", "retry_ratio = 0.4\n"
 	same, later := time.Unix(1, 0), time.Unix(2, 0)
 	tests := []struct {
-		name, content string // "" = the file goes
+		name, content string // "" = the file is removed
 		modified      time.Time
 		signal        bool
-		taken         int    // how often settings are handed on, after those of the start
-		line          string // the only one
+		taken         int    // number of reloads after the first one
+		line          string // the only event that is logged; "" = none
 	}{
 		{"unchanged", plain + more, later, false, 0, ""},
-		{"unchanged, told to", plain + more, later, true, 1, "settings_reloaded"},
+		{"unchanged, with a signal", plain + more, later, true, 1, "settings_reloaded"},
 		{"changed", plain + half, later, false, 1, "settings_reloaded"},
-		{"changed, told to", plain + half, later, true, 1, "settings_reloaded"},
+		{"changed, with a signal", plain + half, later, true, 1, "settings_reloaded"},
 		{"changed, time and size the same", plain + half, same, false, 1, "settings_reloaded"},
 		{"needs a restart", plain + more + "[log]\nlevel = \"debug\"\n", later, false, 1, "settings_need_restart"},
 		{"wrong", plain + "retry_ratio = -1.0\n", later, false, 0, "settings_unusable"},
@@ -60,7 +61,7 @@
 			put(t, path, plain+more, same)
 			synctest.Test(t, func(t *testing.T) {
 				var out bytes.Buffer
-				var taken taking
+				var taken settingsRecorder
 				logs := openLog(config.Config{Log: config.Log{Level: "info"}}, &out)
 				f := &settingsFile{path: path, every: time.Second, clock: quartz.NewReal(), logger: logs.logger, instance: &taken}
 				signals := make(chan os.Signal)
@@ -72,19 +73,19 @@
 				if tt.signal {
 					signals <- syscall.SIGHUP
 				}
-				time.Sleep((readEvery + 1) * time.Second)
+				time.Sleep((forceReadEvery + 1) * time.Second)
 				synctest.Wait()
 				logs.close()
 				lines := countEvents(t, out.String())
 				if began != 1 || len(taken)-began != tt.taken || len(lines) > 1 || (tt.line != "") != (lines[tt.line] == 1) {
-					t.Errorf("taken %d and %d times: %s", began, len(taken)-began, out.String())
+					t.Errorf("applied %d and %d times: %s", began, len(taken)-began, out.String())
 				}
 			})
 		})
 	}
 }
 
-// put writes the file with its time, or removes it.
+// put writes the file with the given modification time, or removes it if content is "".
 func put(t *testing.T, path, content string, modified time.Time) {
 	t.Helper()
 	err := errors.Join(os.WriteFile(path, []byte(content), 0o600), os.Chtimes(path, modified, modified))
