--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -1,9 +1,9 @@
-// Package edge assembles an instance that serves plain HTTP requests on a
-// platform that declares routes and targets. It is what package daemon is for
-// the product's own caller and admin API: membership, the agreement on the
-// configuration, the dispatcher of stage work and the request path are the same
-// product's; claims, tickets, orders and leases are not run, since the platform
-// makes them needless here (see docs/design/platform.md).
+// Package edge assembles an instance that serves plain HTTP requests on a platform that
+// declares routes and targets. Package daemon does the same for the product's own
+// caller and admin API. Membership, configuration synchronisation, the dispatcher of
+// stage work and the request path are components of the same product. Claims, tickets,
+// orders and leases are not run, since the platform makes them unnecessary here (see
+// docs/design/platform.md).
 package edge
 
 import (
@@ -43,49 +43,51 @@
 // Platform is the platform's store as an instance uses it.
 type Platform interface {
 	store.Store
-	// Deregister takes an instance off the list.
+	// Deregister removes an instance from the platform's list.
 	Deregister(ctx context.Context, id string) error
 }
 
-// Adapter is what translates between the product and the platform; package
-// platform at the root provides it.
+// Adapter translates between the product and the platform. Package platform at the
+// root of the module provides its parts.
 type Adapter struct {
 	Platform Platform
 	Codec    relay.Codec
 	Decoder  relay.Decoder
-	// Stages returns the client of stage targets over the connections.
+	// Stages returns a client that calls stage targets over the connections of the pool.
 	Stages func(*exchange.Pool) relay.StageClient
-	// AnswerID returns the id of the attempt that a target's answer names.
+	// AnswerID returns the id of the attempt that is named in a target's response.
 	AnswerID func(http.Header) string
-	// ReadyPath and AddressPath are where the platform and callers ask.
+	// ReadyPath is the path of the platform's readiness check, AddressPath that of
+	// callers' address queries.
 	ReadyPath, AddressPath string
 }
 
-// Options configure an instance beside its settings. Zero values stand for the
-// real world.
+// Options configure an instance in addition to its settings. Zero values stand for the
+// real clock, network and randomness.
 type Options struct {
 	Clock  clock.Clock
 	Boot   clock.Boot
-	Seed   uint64 // of random choices; 0 = drawn
+	Seed   uint64 // of random choices; 0 = random
 	Logger *event.Logger
 	// Dial connects to targets and other instances.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 	// Listen opens a listener.
 	Listen func(network, address string) (net.Listener, error)
-	// LimitMemory sets the runtime's limit in bytes, see debug.SetMemoryLimit.
-	// nil: it is left alone, since it is one for all instances of a process.
+	// LimitMemory sets the runtime's memory limit in bytes, see debug.SetMemoryLimit. If
+	// nil, the limit is not changed; it applies to the whole process, which may run
+	// several instances.
 	LimitMemory func(bytes int64) int64
 }
 
 // Instance is one instance.
 type Instance struct {
-	cfg     config.Config                 // at the start
-	inForce atomic.Pointer[config.Config] // cfg with what Reload changed
-	o       Options
-	adapter Adapter
-	began   time.Duration // boot time at New
-	board   *board.Board
-	metrics *metrics.Registry
+	cfg       config.Config                 // as given to New
+	inForce   atomic.Pointer[config.Config] // cfg with the changes of Reload
+	o         Options
+	adapter   Adapter
+	startedAt time.Duration // boot time of New
+	board     *board.Board
+	metrics   *metrics.Registry
 
 	pool       *exchange.Pool
 	stages     *timedStages
@@ -96,49 +98,48 @@
 	finder     *stagework.Finder
 	guard      *crashguard.Guard
 	loads      *forwarding.Loads
-	cold       *allowance.Allowance // for targets that have just started
-	limited    *allowance.Allowance // for targets that name a limit
+	cold       *allowance.Allowance // rate allowances of targets that have just started
+	limited    *allowance.Allowance // rate allowances of targets that state a limit
 	notices    *notice.Keeper
-	budget     *forwarding.Budget // bounds repeats of requests
+	budget     *forwarding.Budget // limits retries of requests
 	ingress    *ingress.Ingress
 
-	cells   atomic.Pointer[[]stagework.Cell]
-	looked  atomic.Int64 // boot time of the last look at the clock, ns
-	askedAt atomic.Int64 // the last word of another instance before the store was asked, ns; 0 = never
-	// storeAsked is the boot time at which the store was asked for that, ns; 0 =
-	// never.
-	storeAsked atomic.Int64
-	wokeAt     atomic.Int64 // boot time of the last waking that is not confirmed, ns; 0 = none
-	servers    []*http.Server
-	listens    []net.Listener
+	cells            atomic.Pointer[[]stagework.Cell]
+	lastClockCheck   atomic.Int64 // boot time of the last checkClock, ns
+	heardBeforeQuery atomic.Int64 // boot time of the last message of another instance before the last queryStore, ns; 0 = never
+	// storeQueriedAt is the boot time of the last queryStore, ns; 0 = never.
+	storeQueriedAt atomic.Int64
+	resumedAt      atomic.Int64 // boot time of the last resume after which the configuration has not been confirmed, ns; 0 = none
+	servers        []*http.Server
+	listens        []net.Listener
 }
 
-// Times of an instance.
+// Intervals, timeouts and limits of an instance.
 const (
 	heartbeatEvery = 500 * time.Millisecond
 	suspectAfter   = 1500 * time.Millisecond
-	// listEvery is how often each instance reads the list of instances. Two
-	// parts of a fleet that do not know of each other meet once any instance of
-	// either reads it: with n instances that is every listEvery/n.
+	// listEvery is the interval at which each instance reads the list of instances. Two
+	// parts of a fleet that do not know of each other merge once any instance of either
+	// reads it: with n instances that is every listEvery/n.
 	listEvery = time.Minute
-	// registerEvery is how often an instance writes its entry, which does not
-	// lapse. A list without it has it written again at once.
+	// registerEvery is the interval at which an instance writes its entry, which does not
+	// expire. An instance that reads a list without its entry writes it again at once.
 	registerEvery = 10 * time.Minute
-	// watchGap bounds the calls that changes in series cost: ten a second for
-	// each of the few instances that watch, and kind of objects. Targets that
-	// leave are told seconds before they end.
+	// watchGap limits the calls caused by a series of changes to ten a second for each
+	// kind of objects and each of the few instances that watch. The delay is acceptable:
+	// targets announce that they leave seconds before they end.
 	watchGap = 100 * time.Millisecond
-	// crashLimit is how many targets may die under one request.
-	crashLimit = 3
-	crashKeep  = time.Minute
-	// takeAfterStop is how long new requests are taken once the instance is
-	// stopping: callers still hold its address.
-	takeAfterStop = 2500 * time.Millisecond
-	// quietAfterStop is the shortest time between the order to stop and the
-	// end.
-	quietAfterStop = 2500 * time.Millisecond
-	// lastMargin is kept of the time to stop for the end of the process.
-	lastMargin = 400 * time.Millisecond
+	// crashLimit is how many targets may crash while they process one request.
+	crashLimit     = 3
+	crashRetention = time.Minute
+	// acceptAfterStop is how long a stopping instance accepts new requests, since
+	// callers still have its address.
+	acceptAfterStop = 2500 * time.Millisecond
+	// minStopTime is the shortest time between the start and the end of a stop.
+	minStopTime = 2500 * time.Millisecond
+	// stopMargin is the part of the grace period that is reserved for the end of the
+	// process.
+	stopMargin = 400 * time.Millisecond
 	stopPoll   = 25 * time.Millisecond
 )
 
@@ -157,9 +158,9 @@
 	if o.Listen == nil {
 		o.Listen = net.Listen
 	}
-	i := &Instance{cfg: cfg, o: o, adapter: adapter, began: o.Boot.SinceBoot(), board: board.New(), metrics: metrics.NewRegistry()}
+	i := &Instance{cfg: cfg, o: o, adapter: adapter, startedAt: o.Boot.SinceBoot(), board: board.New(), metrics: metrics.NewRegistry()}
 	i.inForce.Store(&cfg)
-	i.looked.Store(int64(o.Boot.SinceBoot()))
+	i.lastClockCheck.Store(int64(o.Boot.SinceBoot()))
 	i.o.Logger = o.Logger.With("instance", cfg.Instance.ID)
 	i.adapter.Platform = newCountedPlatform(adapter.Platform, i.metrics)
 	if err := i.times().Check(); err != nil {
@@ -181,32 +182,32 @@
 	return rand.New(rand.NewPCG(i.o.Seed, 0x9e3779b97f4a7c15))
 }
 
-// assembleControl makes what keeps members and configuration.
+// assembleControl creates the components that maintain members and configuration.
 func (i *Instance) assembleControl() {
 	i.peers = peer.NewClient(peer.Options{
 		Dial: i.o.Dial, Self: i.id(), Address: i.peerAddress, Logger: i.o.Logger, Metrics: i.metrics,
 	})
 	i.guard = crashguard.New(crashguard.Options{
-		Board: i.board, Clock: i.o.Clock, Limit: crashLimit, Keep: crashKeep,
+		Board: i.board, Clock: i.o.Clock, Limit: crashLimit, Keep: crashRetention,
 		Alive: i.targetAlive, Logger: i.o.Logger, Metrics: i.metrics,
 	})
 	i.notices = notice.New(notice.Options{
-		Self: fmt.Sprintf("%s/%08x", i.id(), i.rand().Uint32()), Board: i.board, Clock: i.o.Clock, OnChange: i.noticed,
+		Self: fmt.Sprintf("%s/%08x", i.id(), i.rand().Uint32()), Board: i.board, Clock: i.o.Clock, OnChange: i.noticeChanged,
 		Logger: i.o.Logger, Metrics: i.metrics,
 	})
 	i.routes = routesync.New(routesync.Options{
 		Self: i.id(), Store: i.adapter.Platform, Decoder: i.adapter.Decoder, Puller: i.peers,
 		Clock: i.o.Clock, Boot: i.o.Boot, Rand: i.rand(), Logger: i.o.Logger, Metrics: i.metrics,
 		OnTable: func(*route.Table) {
-			i.targetsChanged()
-			i.passOn()
+			i.updateDispatcher()
+			i.spreadChange()
 		},
-		OnTargets:   i.retarget,
+		OnTargets:   i.handleTargets,
 		Hurry:       func() { i.members.Hurry() },
 		Leaves:      i.notices.Leaves,
 		Times:       i.times,
 		WatchGap:    watchGap,
-		Asks:        i.asksStore,
+		Asks:        i.callsStore,
 		ProbeKey:    instancesPrefix + i.id(),
 		Probes:      i.probesStore,
 		Evacuations: i.cfg.Ingress.Evacuations,
@@ -226,16 +227,16 @@
 	})
 }
 
-// assembleRequestPath makes what carries requests.
+// assembleRequestPath creates the components that handle requests.
 func (i *Instance) assembleRequestPath() {
-	i.pool = exchange.New(exchange.Options{Dial: i.o.Dial, AnswerID: i.adapter.AnswerID, OnSend: i.heedAnswer})
+	i.pool = exchange.New(exchange.Options{Dial: i.o.Dial, AnswerID: i.adapter.AnswerID, OnSend: i.trackRequest})
 	i.stages = &timedStages{StageClient: i.adapter.Stages(i.pool), clock: i.o.Clock}
 	i.cold = allowance.NewAllowance(allowance.Options{
-		Self: i.id(), Instances: i.everHeardOf, Clock: i.o.Clock,
+		Self: i.id(), Instances: i.everKnownInstances, Clock: i.o.Clock,
 		Bound: allowance.Cold(func() float64 { return i.settings().ColdOverage }),
 	})
 	i.limited = allowance.NewAllowance(allowance.Options{
-		Self: i.id(), Instances: i.everHeardOf, Clock: i.o.Clock, Bound: allowance.Named(),
+		Self: i.id(), Instances: i.everKnownInstances, Clock: i.o.Clock, Bound: allowance.Named(),
 	})
 	i.dispatcher = stagework.New(stagework.Options{
 		Self: i.id(), Client: i.stages, Clock: i.o.Clock, Logger: i.o.Logger,
@@ -245,8 +246,8 @@
 	})
 	i.finder = stagework.NewFinder(stagework.FinderOptions{
 		Self: i.id(), Local: i.dispatcher, Remote: i.peers,
-		Members:  i.dispatchers,
-		Capacity: i.capacity, Cells: i.currentCells, Contact: i.contact, Meeting: i.meeting,
+		Members:  i.dispatcherCandidates,
+		Capacity: i.capacity, Cells: i.currentCells, Contact: i.contact, Meeting: i.discoveringMembers,
 		Clock: i.o.Clock, Logger: i.o.Logger,
 	})
 	i.loads = forwarding.NewLoads(i.o.Clock, i.cfg.Instance.Place, i.rand())
@@ -254,18 +255,18 @@
 		Codec: i.adapter.Codec, Forwarder: i.newForwarder(), Table: i.routes.Table,
 		Known: i.grounds, Serving: i.serving, Addresses: i.addresses,
 		AddressTTL:    func() time.Duration { return i.settings().AddressTTL.Duration },
-		TakeAfterStop: takeAfterStop,
+		TakeAfterStop: acceptAfterStop,
 		Clock:         i.o.Clock, Logger: i.o.Logger, Metrics: i.metrics,
 	})
-	i.bound()
+	i.applyLimits()
 	i.publish()
 }
 
 // openServers opens the listeners.
 func (i *Instance) openServers() error {
 	peers := peer.NewServer(peer.NewHandler(peer.ServerOptions{
-		Exchange: i.exchange, Probe: i.members.HandleProbe, Profiles: i.routes.Since, Work: i.takeWork,
-		CutOff: func() bool { return i.members.Silence() >= aloneAfter },
+		Exchange: i.exchange, Probe: i.members.HandleProbe, Profiles: i.routes.Since, Work: i.acceptJob,
+		CutOff: func() bool { return i.members.Silence() >= silenceThreshold },
 		Logger: i.o.Logger, Metrics: i.metrics,
 	}), nil, i.o.Logger)
 	for _, l := range []struct {
@@ -277,7 +278,7 @@
 		{i.cfg.Ingress.Readiness, i.ingress.ReadyServer(i.adapter.ReadyPath), i.ingress.ReadyListener},
 		{i.cfg.Ingress.Addresses, i.ingress.AddressServer(i.adapter.AddressPath), i.ingress.AddressListener},
 		{i.cfg.Listen.Peer, peers, nil},
-		{i.cfg.Ingress.Control, peers, nil}, // where the settings' seeds point
+		{i.cfg.Ingress.Control, peers, nil}, // the address that peers.seeds name
 		{i.cfg.Ingress.Metrics, i.metricsServer(), nil},
 	} {
 		if l.address == "" {
@@ -285,7 +286,7 @@
 		}
 		listener, err := i.o.Listen("tcp", l.address)
 		if err != nil && l.address == i.cfg.Ingress.Metrics {
-			i.o.Logger.Log(event.MetricsUnavailable, "address", l.address, "err", err) // requests go on without
+			i.o.Logger.Log(event.MetricsUnavailable, "address", l.address, "err", err) // requests are served without metrics
 			continue
 		}
 		if err != nil {
@@ -309,7 +310,7 @@
 	}
 }
 
-// exchange serves a heartbeat.
+// exchange handles a gossip exchange (heartbeat) of another instance.
 func (i *Instance) exchange(ctx context.Context, d gossip.Digest) gossip.Digest {
 	return i.members.Handle(ctx, d)
 }
--- a/internal/edge/era_test.go
+++ b/internal/edge/era_test.go
@@ -9,15 +9,16 @@
 	"lynxhill.example/lynxhill/internal/store"
 )
 
-// eraWithin is the time within which all instances have to be in the new era, from the store's return.
-const eraWithin = 2 * time.Second
+// maxEraDelay is the time from the store's return within which all instances have to be in the new era (store epoch).
+const maxEraDelay = 2 * time.Second
 
-// Symptom: after the store came back from an older copy, parts of the fleet go on by the old order of changes for minutes.
-// Events: 200 changes are lost, those of the newest target among them; a third of the instances don't reach the store
-// meanwhile; the target writes again and another one comes. Cause: revisions were held to rise for ever.
+// Guards against parts of the fleet that rely for minutes on the old order of revisions after the store was restored from
+// an older copy, because they assume that revisions only increase. 200 changes are lost, among them those of the newest
+// target; a third of the instances do not reach the store meanwhile; the target writes its entry again and another target
+// is added.
 func TestAFleetIsInTheNewEraAtOnce(t *testing.T) {
-	for _, n := range noticeFleets() {
-		inFleet(t, n, func(f *fleetOf) {
+	for _, n := range noticeFleetSizes() {
+		runFleet(t, n, func(f *testFleet) {
 			time.Sleep(8 * time.Second)
 			copied := f.store.Copy()
 			f.put("targets/b", "10.0.0.2:1")
@@ -27,13 +28,13 @@
 			f.until(2*time.Second, "all know the target", func(m *member) bool { return m.routes.Targets().Usable("b") })
 			for k, m := range f.all {
 				if k%3 == 0 {
-					m.socket.strike(&m.socket.noStore)
+					m.socket.injectFault(&m.socket.storeUnreachable)
 				}
 			}
 			before := f.calls()["all"]
 			f.store.Return(copied)
 			f.put("targets/c", "10.0.0.3:1")
-			took := f.until(eraWithin, "all are in the new era and know what came in it", func(m *member) bool {
+			took := f.until(maxEraDelay, "all are in the new era and know the target added in it", func(m *member) bool {
 				return m.routes.Era() == 1 && m.routes.Targets().Usable("c")
 			})
 			calls := f.calls()["all"] - before
@@ -44,19 +45,19 @@
 					t.Errorf("%s: a %v, b %v, c %v", m.id(), v.Usable("a"), v.Usable("b"), v.Usable("c"))
 				}
 			}
-			// Each of the few that watch lists and watches anew, what it keeps.
+			// Each of the few watchers lists again, and watches again, every kind of object that it keeps.
 			if most := int64(12 * 4); calls > most {
-				t.Errorf("%d instances: the return cost %d calls of the store, %d would do", n, calls, most)
+				t.Errorf("%d instances: the return cost %d calls of the store, want %d at most", n, calls, most)
 			}
 			t.Logf("%d instances: in the new era after %v, with %d calls of the store", n, took, calls)
 		})
 	}
 }
 
-// Guards against an instance whose entry the store has lost staying off the
-// platform's list: those that start later would not find it.
+// Guards against an instance that remains missing from the platform's list after the store
+// has lost its entry: instances that start later would not find it.
 func TestEntriesOfInstancesOutlastTheStoresReturn(t *testing.T) {
-	inFleet(t, 8, func(f *fleetOf) {
+	runFleet(t, 8, func(f *testFleet) {
 		time.Sleep(8 * time.Second)
 		copied := f.store.Copy()
 		f.all = append(f.all, f.start(8))
@@ -70,8 +71,8 @@
 	})
 }
 
-// listed reports whether the platform's list has the instance.
-func (f *fleetOf) listed(id string) bool {
+// listed reports whether the platform's list contains the instance.
+func (f *testFleet) listed(id string) bool {
 	f.t.Helper()
 	instances, err := f.store.Instances(f.t.Context())
 	if err != nil {
--- a/internal/edge/fleet_harness_test.go
+++ b/internal/edge/fleet_harness_test.go
@@ -27,39 +27,39 @@
 	"lynxhill.example/lynxhill/internal/virtualtest"
 )
 
-// hosts is a network in memory: listeners by address.
-type hosts struct {
+// memoryNetwork is an in-memory network: listeners by address.
+type memoryNetwork struct {
 	mu        sync.Mutex // guards listeners
 	listeners map[string]*memnet.Listener
-	sides     map[string]int  // side of a partition by address; guarded by mu
+	sides     map[string]int  // side of the partition by address; guarded by mu
 	silent    map[string]bool // addresses where dials hang instead of being refused; guarded by mu
 	testEnded chan struct{}   // closed at the end of the test; unblocks hanging dials
 }
 
-// socket is one instance's way to the network and the store, until its power
-// is lost.
-type socket struct {
-	*hosts
-	mu        sync.Mutex // guards what follows
-	off       bool
-	alone     bool // reaches no other instance
-	side      int  // of a partition, whose sides cannot reach each other; guarded by hosts.mu
-	noStore   bool // reaches no store
-	noAnswers bool // Get, List and Watch of the store hang until their context ends
-	toStore   storeConns
-	opened    []opened
-	serving   []string // addresses
+// instanceNetwork is the access of one instance to the network and the store, with the
+// faults injected into it.
+type instanceNetwork struct {
+	*memoryNetwork
+	mu               sync.Mutex // guards the fields below
+	poweredOff       bool
+	isolated         bool // cannot reach other instances
+	side             int  // side of the partition; the sides cannot reach each other; guarded by memoryNetwork.mu
+	storeUnreachable bool // cannot reach the store
+	storeSilent      bool // Get, List and Watch calls of the store hang until their context ends
+	toStore          storeConns
+	opened           []opened
+	serving          []string // addresses on which it listens
 }
 
-// opened is a connection that an instance made.
+// opened is a connection that an instance opened.
 type opened struct {
 	*silenceableConn
 	to string // address
 }
 
-func (s *socket) listen(_, address string) (net.Listener, error) {
-	s.hosts.mu.Lock()
-	defer s.hosts.mu.Unlock()
+func (s *instanceNetwork) listen(_, address string) (net.Listener, error) {
+	s.memoryNetwork.mu.Lock()
+	defer s.memoryNetwork.mu.Unlock()
 	l := memnet.Listen()
 	s.listeners[address] = l
 	delete(s.silent, address)
@@ -68,21 +68,21 @@
 	return l, nil
 }
 
-func (s *socket) dial(ctx context.Context, network, address string) (net.Conn, error) {
-	s.hosts.mu.Lock()
+func (s *instanceNetwork) dial(ctx context.Context, network, address string) (net.Conn, error) {
+	s.memoryNetwork.mu.Lock()
 	l := s.listeners[address]
 	otherSide := s.sides[address] != s.side
 	silent := s.silent[address]
-	s.hosts.mu.Unlock()
+	s.memoryNetwork.mu.Unlock()
 	if silent {
 		// net/http continues to dial after the request has ended.
 		select {
 		case <-ctx.Done():
-		case <-s.hosts.testEnded:
+		case <-s.memoryNetwork.testEnded:
 		}
 		return nil, os.ErrDeadlineExceeded
 	}
-	if l == nil || otherSide || s.has(&s.off) || s.has(&s.alone) {
+	if l == nil || otherSide || s.has(&s.poweredOff) || s.has(&s.isolated) {
 		return nil, net.ErrClosed
 	}
 	conn, err := l.Dial(ctx, network, address)
@@ -100,15 +100,15 @@
 // closed, and written data is discarded.
 type silenceableConn struct {
 	net.Conn
-	silent    atomic.Bool
-	deaf      atomic.Bool // silent in the direction of who opened it alone
-	closed    chan struct{}
-	closeOnce sync.Once // guards the close of closed
+	silent          atomic.Bool
+	receivesNothing atomic.Bool // silent only in the direction towards the instance that opened it
+	closed          chan struct{}
+	closeOnce       sync.Once // guards the close of closed
 }
 
 func (c *silenceableConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	if c.silent.Load() || c.deaf.Load() {
+	if c.silent.Load() || c.receivesNothing.Load() {
 		<-c.closed
 		return 0, net.ErrClosed
 	}
@@ -127,15 +127,15 @@
 	return c.Conn.Close()
 }
 
-// has reads one of the socket's faults.
-func (s *socket) has(fault *bool) bool {
+// has reports whether one of the faults is injected.
+func (s *instanceNetwork) has(fault *bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return *fault
 }
 
-// strike sets one of the socket's faults and cuts its connections.
-func (s *socket) strike(fault *bool) {
+// injectFault sets one of the faults and closes the instance's connections.
+func (s *instanceNetwork) injectFault(fault *bool) {
 	s.mu.Lock()
 	*fault = true
 	opened := s.opened
@@ -146,13 +146,13 @@
 }
 
 // setSide moves the instance to a side of a partition and closes its connections.
-func (s *socket) setSide(side int) {
-	s.hosts.mu.Lock()
+func (s *instanceNetwork) setSide(side int) {
+	s.memoryNetwork.mu.Lock()
 	s.side = side
 	for _, address := range s.serving {
 		s.sides[address] = side
 	}
-	s.hosts.mu.Unlock()
+	s.memoryNetwork.mu.Unlock()
 	s.mu.Lock()
 	opened := s.opened
 	s.opened = nil
@@ -162,20 +162,20 @@
 	}
 }
 
-// storeGone reports whether the instance reaches no store.
-func (s *socket) storeGone() bool { return s.has(&s.off) || s.has(&s.noStore) }
+// storeGone reports whether the instance cannot reach the store.
+func (s *instanceNetwork) storeGone() bool { return s.has(&s.poweredOff) || s.has(&s.storeUnreachable) }
 
-// losePower ends all that reaches or leaves the instance.
-func (s *socket) losePower() {
-	for _, l := range s.hosts.hide(s) {
+// losePower simulates a power loss: it closes the instance's listeners and connections.
+func (s *instanceNetwork) losePower() {
+	for _, l := range s.memoryNetwork.hide(s) {
 		_ = l.Close()
 	}
-	s.strike(&s.off)
+	s.injectFault(&s.poweredOff)
 }
 
-// silence simulates a power loss of the instance's machine: dials to it hang, and its
+// silence simulates a power loss of the instance's host: dials to it hang, and its
 // connections go silent instead of being closed.
-func (f *fleetOf) silence(lost *member) {
+func (f *testFleet) silence(lost *member) {
 	f.net.mu.Lock()
 	for _, address := range lost.socket.serving {
 		f.net.silent[address] = true
@@ -191,12 +191,12 @@
 		m.socket.mu.Unlock()
 	}
 	lost.socket.mu.Lock()
-	lost.socket.off = true
+	lost.socket.poweredOff = true
 	lost.socket.mu.Unlock()
 }
 
-// hide takes the socket's listeners out of the network; they stay open.
-func (h *hosts) hide(s *socket) (hidden []*memnet.Listener) {
+// hide removes the instance's listeners from the network; they stay open.
+func (h *memoryNetwork) hide(s *instanceNetwork) (hidden []*memnet.Listener) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, address := range s.serving {
@@ -206,18 +206,18 @@
 	return hidden
 }
 
-// reachable is the store as an instance reaches it.
-type reachable struct {
-	wire
-	*socket
+// instancePlatform is the platform as seen by one instance, with the faults of its network.
+type instancePlatform struct {
+	fakePlatform
+	*instanceNetwork
 }
 
-// begin takes a connection to the store for a call. The function that it returns ends
-// the call: it blocks until ctx ends and fails if the store's answer does not arrive.
-func (r reachable) begin(ctx context.Context) (end func() error) {
+// begin acquires a connection to the store for a call. The returned function ends the
+// call: if the store's response does not arrive, it blocks until ctx ends and fails.
+func (r instancePlatform) begin(ctx context.Context) (end func() error) {
 	conn := r.toStore.take()
 	return func() error {
-		if !r.has(&r.noAnswers) && !conn.silent.Load() && ctx.Err() == nil {
+		if !r.has(&r.storeSilent) && !conn.silent.Load() && ctx.Err() == nil {
 			r.toStore.put(conn)
 			return nil
 		}
@@ -227,10 +227,10 @@
 	}
 }
 
-// Table reads a table whose version is the length of the value; version 2 and later
-// have a host of their own.
-func (r reachable) Table(value []byte) (*route.Table, error) {
-	table, err := r.wire.Table(value)
+// Table decodes a table whose version is the length of the value; each version from 2 on
+// adds a route with a host of its own.
+func (r instancePlatform) Table(value []byte) (*route.Table, error) {
+	table, err := r.fakePlatform.Table(value)
 	table.Version = int64(len(value))
 	if table.Version > 1 {
 		added := table.Routes[0]
@@ -240,83 +240,83 @@
 	return table.Build(), err
 }
 
-// addedHost is the host that a version of the table adds.
+// addedHost returns the host that a version of the table adds.
 func addedHost(version int64) string { return fmt.Sprint("h", version) }
 
-func (r reachable) Get(ctx context.Context, key string) (store.Object, error) {
+func (r instancePlatform) Get(ctx context.Context, key string) (store.Object, error) {
 	if r.storeGone() {
 		return store.Object{}, store.ErrUnavailable
 	}
 	end := r.begin(ctx)
-	object, err := r.wire.Get(ctx, key)
+	object, err := r.fakePlatform.Get(ctx, key)
 	if lost := end(); lost != nil {
 		return store.Object{}, lost
 	}
 	return object, err
 }
 
-func (r reachable) List(ctx context.Context, prefix string) ([]store.Object, uint64, error) {
+func (r instancePlatform) List(ctx context.Context, prefix string) ([]store.Object, uint64, error) {
 	if r.storeGone() {
 		return nil, 0, store.ErrUnavailable
 	}
 	end := r.begin(ctx)
-	objects, version, err := r.wire.List(ctx, prefix)
+	objects, version, err := r.fakePlatform.List(ctx, prefix)
 	if lost := end(); lost != nil {
 		return nil, 0, lost
 	}
 	return objects, version, err
 }
 
-func (r reachable) Watch(ctx context.Context, prefix string, after uint64) ([]store.Object, uint64, bool, error) {
+func (r instancePlatform) Watch(ctx context.Context, prefix string, after uint64) ([]store.Object, uint64, bool, error) {
 	if r.storeGone() {
 		return nil, 0, false, store.ErrUnavailable
 	}
 	end := r.begin(ctx)
-	objects, version, compacted, err := r.wire.Watch(ctx, prefix, after)
+	objects, version, compacted, err := r.fakePlatform.Watch(ctx, prefix, after)
 	if lost := end(); lost != nil || r.storeGone() {
 		return nil, 0, false, store.ErrUnavailable
 	}
 	return objects, version, compacted, err
 }
 
-func (r reachable) Instances(ctx context.Context) ([]store.Instance, error) {
+func (r instancePlatform) Instances(ctx context.Context) ([]store.Instance, error) {
 	if r.storeGone() {
 		return nil, store.ErrUnavailable
 	}
-	return r.wire.Instances(ctx)
+	return r.fakePlatform.Instances(ctx)
 }
 
-func (r reachable) Register(ctx context.Context, self store.Instance) error {
+func (r instancePlatform) Register(ctx context.Context, self store.Instance) error {
 	if r.storeGone() {
 		return store.ErrUnavailable
 	}
-	return r.wire.Register(ctx, self)
+	return r.fakePlatform.Register(ctx, self)
 }
 
-func (r reachable) Deregister(_ context.Context, id string) error {
+func (r instancePlatform) Deregister(_ context.Context, id string) error {
 	if !r.storeGone() {
-		r.wire.RemoveInstance(id)
+		r.fakePlatform.RemoveInstance(id)
 	}
 	return nil
 }
 
-// fleetOf is a number of instances in virtual time with one store.
-type fleetOf struct {
+// testFleet is a fleet of instances in virtual time with one store.
+type testFleet struct {
 	t     *testing.T
 	store *memstore.Store
-	net   *hosts
+	net   *memoryNetwork
 	all   []*member
-	dead  []*member // that lost power
+	dead  []*member // instances that lost power
 	began time.Time
-	// evacuations reports whether instances watch orders to evacuate zones.
+	// evacuations is set if the instances watch orders to evacuate availability zones.
 	evacuations bool
 	bounds      bounds
-	extra       float64                // extra repeats of all instances; 0 = the default
+	extra       float64                // extra retries of all instances; 0 = the default
 	sideOf      func(i int) (side int) // side of the partition on which instance i starts; nil = no partition
 }
 
 // partition prevents instances on different sides from reaching each other.
-func (f *fleetOf) partition(sideOf func(i int) int) {
+func (f *testFleet) partition(sideOf func(i int) int) {
 	f.sideOf = sideOf
 	for i, m := range f.all {
 		m.socket.setSide(sideOf(i))
@@ -324,14 +324,15 @@
 }
 
 // restart cuts the power of instance i and starts it again.
-func (f *fleetOf) restart(i int) {
+func (f *testFleet) restart(i int) {
 	f.all[i].socket.losePower()
 	f.dead = append(f.dead, f.all[i])
 	f.all[i] = f.start(i)
 }
 
-// dispatchers returns the instances that somebody takes for the dispatcher.
-func (f *fleetOf) dispatchers() map[string]bool {
+// seenDispatchers returns the instances that at least one instance considers the
+// dispatcher.
+func (f *testFleet) seenDispatchers() map[string]bool {
 	firsts := make(map[string]bool)
 	for _, m := range f.all {
 		first, _ := m.finder.First(stagework.Cell{Weight: 1})
@@ -340,40 +341,43 @@
 	return firsts
 }
 
-// member is an instance of a fleet and how to end it.
+// member is an instance of a fleet with the function that stops it.
 type member struct {
 	*Instance
-	socket *socket
+	socket *instanceNetwork
 	kill   context.CancelFunc
 	ended  chan error
 }
 
-const fleetPlaces = 6
+const fleetZones = 6
 
-// readsAt and writesAt are the store's rates, a second, as they are for 295
-// instances, in proportion; no less than for eight.
+// readsAt returns the store's limit of reads per second for n instances: 16000 at 295
+// instances, in proportion to n, but no less than the 2000 of eight instances.
 func readsAt(n int) float64 { return max(2000, 16000*float64(n)/295) }
 
+// writesAt returns the store's limit of writes per second for n instances: 3200 at 295
+// instances, in proportion to n, but no less than the 400 of eight instances.
 func writesAt(n int) float64 { return max(400, 3200*float64(n)/295) }
 
-// inFleet runs the test with n instances that start together.
-func inFleet(t *testing.T, n int, test func(*fleetOf)) { playFleet(t, n, false, defaultBounds, test) }
+// runFleet runs the test with n instances that start at the same time.
+func runFleet(t *testing.T, n int, test func(*testFleet)) {
+	runFleetWithBounds(t, n, false, defaultBounds, test)
+}
 
-// inFleetWithOrders is inFleet with instances that watch orders to evacuate
-// zones.
-func inFleetWithOrders(t *testing.T, n int, test func(*fleetOf)) {
-	playFleet(t, n, true, defaultBounds, test)
+// runFleetWithEvacuations is runFleet with instances that watch orders to evacuate zones.
+func runFleetWithEvacuations(t *testing.T, n int, test func(*testFleet)) {
+	runFleetWithBounds(t, n, true, defaultBounds, test)
 }
 
-// bounds are what operators demand of a fleet.
+// bounds holds the time limits that operators set for a fleet.
 type bounds struct {
-	touch time.Duration // after which an instance is out of touch
-	apply time.Duration // within which a change has to be in force
+	touch time.Duration // time after which a cut-off instance counts as out of touch
+	apply time.Duration // time within which a change has to be in force
 }
 
 var defaultBounds = bounds{touch: 5 * time.Second, apply: 5 * time.Second}
 
-// boundsAt returns the bounds of the users' deployments of about that many instances.
+// boundsAt returns the time limits of the users' deployments with about n instances.
 func boundsAt(n int) bounds {
 	if n <= 8 {
 		return bounds{touch: 3 * time.Second, apply: 2 * time.Second}
@@ -381,9 +385,9 @@
 	return bounds{touch: 4 * time.Second, apply: 3 * time.Second}
 }
 
-func playFleet(t *testing.T, n int, evacuations bool, b bounds, test func(*fleetOf)) {
+func runFleetWithBounds(t *testing.T, n int, evacuations bool, b bounds, test func(*testFleet)) {
 	synctest.Test(t, func(t *testing.T) {
-		f := &fleetOf{t: t, began: time.Now(), store: memstore.New(memstore.Options{WatchWait: time.Hour, ReadsPerSecond: readsAt(n), WritesPerSecond: writesAt(n)}), net: &hosts{listeners: make(map[string]*memnet.Listener), sides: make(map[string]int), silent: make(map[string]bool), testEnded: make(chan struct{})}, evacuations: evacuations, bounds: b}
+		f := &testFleet{t: t, began: time.Now(), store: memstore.New(memstore.Options{WatchWait: time.Hour, ReadsPerSecond: readsAt(n), WritesPerSecond: writesAt(n)}), net: &memoryNetwork{listeners: make(map[string]*memnet.Listener), sides: make(map[string]int), silent: make(map[string]bool), testEnded: make(chan struct{})}, evacuations: evacuations, bounds: b}
 		f.put(routesync.TableKey, "x")
 		f.put("targets/a", "10.0.0.1:1")
 		for i := range n {
@@ -394,7 +398,7 @@
 			m.kill()
 		}
 		for _, m := range f.dead {
-			<-m.ended // with the error that its listeners were closed
+			<-m.ended // with the error of its closed listeners
 		}
 		for _, m := range f.all {
 			if err := <-m.ended; err != nil {
@@ -403,13 +407,13 @@
 		}
 		close(f.net.testEnded)
 		for _, m := range append(f.dead, f.all...) {
-			m.socket.strike(&m.socket.off)
+			m.socket.injectFault(&m.socket.poweredOff)
 		}
 	})
 }
 
-// cutCallers cuts the connections that others made to the instance.
-func (f *fleetOf) cutCallers(cut *member) {
+// cutCallers closes the connections that other instances have opened to the instance.
+func (f *testFleet) cutCallers(cut *member) {
 	for _, m := range f.all {
 		m.socket.mu.Lock()
 		made := slices.Clone(m.socket.opened)
@@ -422,14 +426,14 @@
 	}
 }
 
-func (f *fleetOf) put(key, value string) {
+func (f *testFleet) put(key, value string) {
 	f.t.Helper()
 	if _, err := f.store.Put(f.t.Context(), key, []byte(value), 0); err != nil {
 		f.t.Fatal(err)
 	}
 }
 
-func (f *fleetOf) remove(key string) {
+func (f *testFleet) remove(key string) {
 	f.t.Helper()
 	object, err := f.store.Get(f.t.Context(), key)
 	if err == nil {
@@ -443,10 +447,10 @@
 func peerAddressOf(i int) string { return fmt.Sprintf("10.1.%d.%d:1", i/250, i%250) }
 
 // start starts the i-th instance.
-func (f *fleetOf) start(i int) *member {
+func (f *testFleet) start(i int) *member {
 	cfg := settings()
 	cfg.Instance.ID = fmt.Sprintf("i-%03d", i)
-	cfg.Instance.Place = fmt.Sprintf("place-%d", i%fleetPlaces)
+	cfg.Instance.Place = fmt.Sprintf("place-%d", i%fleetZones)
 	cfg.Listen.Peer = peerAddressOf(i)
 	cfg.Ingress.Listen, cfg.Ingress.Metrics = "c"+cfg.Listen.Peer, ""
 	cfg.Ingress.Touch, cfg.Ingress.Apply = config.Of(f.bounds.touch), config.Of(f.bounds.apply)
@@ -456,11 +460,11 @@
 	if f.extra > 0 {
 		cfg.Ingress.RetryExtra = f.extra
 	}
-	way := &socket{hosts: f.net}
+	way := &instanceNetwork{memoryNetwork: f.net}
 	if f.sideOf != nil {
 		way.side = f.sideOf(i)
 	}
-	p, began := reachable{wire{Store: f.store}, way}, time.Now()
+	p, began := instancePlatform{fakePlatform{Store: f.store}, way}, time.Now()
 	in, err := New(cfg, Adapter{
 		Platform: p, Codec: p, Decoder: p, ReadyPath: "/ready", AddressPath: "/where",
 		Stages: func(*exchange.Pool) relay.StageClient { return p }, AnswerID: func(http.Header) string { return "" },
@@ -477,8 +481,8 @@
 	return m
 }
 
-// calls returns the calls of the store since the start, by what was done.
-func (f *fleetOf) calls() map[string]int64 {
+// calls returns the number of calls of the store since the start, by kind of call.
+func (f *testFleet) calls() map[string]int64 {
 	sums := make(map[string]int64)
 	for _, m := range f.all {
 		m.metrics.Labelled(metricStoreCalls).Do(func(v expvar.KeyValue) {
@@ -490,9 +494,9 @@
 	return sums
 }
 
-// until waits until each instance fulfils the condition and returns how long
-// that took.
-func (f *fleetOf) until(limit time.Duration, what string, each func(*member) bool) time.Duration {
+// until waits until every instance fulfils the condition and returns the time that this
+// took.
+func (f *testFleet) until(limit time.Duration, what string, each func(*member) bool) time.Duration {
 	f.t.Helper()
 	return virtualtest.Until(f.t, 20*time.Millisecond, limit, what, func() bool {
 		return !slices.ContainsFunc(f.all, func(m *member) bool { return !each(m) })
--- a/internal/edge/members.go
+++ b/internal/edge/members.go
@@ -8,15 +8,15 @@
 	"lynxhill.example/lynxhill/internal/fleet"
 )
 
-// asksStore reports whether this instance asks the store for news itself, age
-// being that of the newest word of it.
-func (i *Instance) asksStore(age time.Duration) bool {
+// callsStore reports whether this instance itself reads changes from the store. age is
+// the age of the newest confirmation by the store.
+func (i *Instance) callsStore(age time.Duration) bool {
 	return watchers.Facts{
 		Self:            i.id(),
 		Members:         i.board.LiveMembers(i.id()),
 		StoreLost:       i.storeLost,
-		Running:         i.running(),
-		Others:          i.seeded() > 1,
+		Running:         i.uptime(),
+		Others:          i.seededInstances() > 1,
 		Silence:         i.members.Silence(),
 		Behind:          i.routes.Behind(),
 		UnansweredShare: i.members.UnansweredShare(),
@@ -25,7 +25,8 @@
 	}.Asks(age)
 }
 
-// storeLost reports whether the given instance has lost the store, as known here.
+// storeLost reports whether the given instance has lost the store, as far as this
+// instance knows.
 func (i *Instance) storeLost(instance string) bool {
 	if instance == i.id() {
 		return i.routes.StoreLost()
@@ -46,20 +47,20 @@
 // probesStore reports whether this instance probes the store. It does so only while
 // it watches the store on behalf of other instances, which can replace it.
 func (i *Instance) probesStore(age time.Duration) bool {
-	return i.instances() > watchers.Watchers && i.asksStore(age)
+	return i.liveInstances() > watchers.Watchers && i.callsStore(age)
 }
 
-// passOn has a change told to the others at once, if there are any that do not
-// watch the store themselves.
-func (i *Instance) passOn() {
-	if i.instances() > watchers.Watchers {
+// spreadChange requests extra gossip exchanges at once if there are instances that do
+// not watch the store themselves.
+func (i *Instance) spreadChange() {
+	if i.liveInstances() > watchers.Watchers {
 		i.members.Hurry()
 	}
 }
 
-// retarget takes in a change of targets; connections to those that are gone
-// are closed, since another service may get their address.
-func (i *Instance) retarget(before, now *fleet.View) {
+// handleTargets applies a change of the targets. It closes idle connections to removed
+// targets, since their addresses may be reused by another service.
+func (i *Instance) handleTargets(before, now *fleet.View) {
 	for _, t := range before.All() {
 		if _, listed := now.Get(t.ID); !listed {
 			i.pool.CloseIdle(t.Address)
@@ -69,16 +70,16 @@
 		_, listed := now.Get(target)
 		return listed
 	})
-	i.targetsChanged()
-	i.passOn()
+	i.updateDispatcher()
+	i.spreadChange()
 }
 
-// everHeardOf returns all instances that were heard of in this life, dead ones
-// and this one included, in order; nil until this instance has had time to hear
-// of all. Instances on the platform's list are included, because an instance that
-// starts during a partition cannot reach those on the other side.
-func (i *Instance) everHeardOf() []string {
-	if i.seeded() > 1 && i.members.KnownFor() < meetTime {
+// everKnownInstances returns the sorted ids of all instances that this process has
+// known, including dead ones and this one; nil until this instance has had time to
+// discover all others. Instances on the platform's list are included, because an
+// instance that starts during a partition cannot reach those on the other side.
+func (i *Instance) everKnownInstances() []string {
+	if i.seededInstances() > 1 && i.members.KnownFor() < memberDiscoveryTime {
 		return nil
 	}
 	ids := append(i.members.ListedIDs(), i.id())
@@ -89,8 +90,9 @@
 	return slices.Compact(ids)
 }
 
-// instances is how many instances are believed alive, this one included.
-func (i *Instance) instances() int {
+// liveInstances returns the number of instances that are considered alive, including
+// this one.
+func (i *Instance) liveInstances() int {
 	return max(len(i.board.LiveMembers(i.id())), 1)
 }
 
--- a/internal/edge/metrics.go
+++ b/internal/edge/metrics.go
@@ -14,10 +14,10 @@
 	"lynxhill.example/lynxhill/internal/stagework"
 )
 
-// MetricsPath is where the metrics listener answers.
+// MetricsPath is the HTTP path of the metrics page.
 const MetricsPath = "/metrics"
 
-// metricsTime bounds a question for metrics.
+// metricsTime is the timeout of a request for metrics.
 const metricsTime = 5 * time.Second
 
 var (
@@ -33,8 +33,8 @@
 	metricHeap    = metrics.Define("edge_memory_bytes", "bytes", "Memory that the runtime has from the system.")
 )
 
-// publish makes the instance's metrics readable. Nothing is computed before
-// somebody reads them.
+// publish registers the instance's metrics. Their values are computed only when they
+// are read.
 func (i *Instance) publish() {
 	i.metrics.Func(metricCalls, func() any { return i.stages.values() })
 	i.metrics.Func(metricWork, func() any { return workValues(i.dispatcher.Counts()) })
@@ -82,7 +82,7 @@
 	return &http.Server{Handler: mux, ReadHeaderTimeout: metricsTime, WriteTimeout: metricsTime, IdleTimeout: metricsTime}
 }
 
-// timedStages counts how long calls of stage targets take.
+// timedStages records the durations of calls of stage targets by result.
 type timedStages struct {
 	relay.StageClient
 	clock            clock.Clock
--- a/internal/edge/notices.go
+++ b/internal/edge/notices.go
@@ -7,9 +7,9 @@
 	"lynxhill.example/lynxhill/internal/exchange"
 )
 
-// heedAnswer is told of each request to a target, whatever its kind, and returns
-// what is told its answer.
-func (i *Instance) heedAnswer(r exchange.Request) func(status int, h http.Header) {
+// trackRequest is called for each request to a target, of whatever kind. It returns
+// the function to be called with the response.
+func (i *Instance) trackRequest(r exchange.Request) func(status int, h http.Header) {
 	target := r.Target
 	if target == "" {
 		target, _ = i.routes.Targets().AtAddress(r.Address)
@@ -20,14 +20,14 @@
 	}
 }
 
-// noticed takes in something new that a target asks: one that leaves is given no
-// new work from here at once, and the others are told what they may hear only
-// with answers of their own.
-func (i *Instance) noticed(before, after board.Notice) {
+// noticeChanged handles a changed notice of a target. A leaving target gets no new work
+// from this instance at once, and the notice is gossiped to the other instances, which
+// would otherwise learn of it only from responses to their own requests.
+func (i *Instance) noticeChanged(before, after board.Notice) {
 	if after.Leaving && !before.Leaving {
 		i.routes.Reconsider()
 	}
-	if i.instances() > 1 {
+	if i.liveInstances() > 1 {
 		i.members.Hurry()
 	}
 }
--- a/internal/edge/repeats_test.go
+++ b/internal/edge/repeats_test.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	extraPerInstance  = 12                     // extra repeats
+	extraPerInstance  = 12                     // extra retries
 	repeatWindow      = 10 * time.Second       // default retry window
-	repeatInterval    = 200 * time.Millisecond // between attempts to repeat
+	repeatInterval    = 200 * time.Millisecond // between attempts to retry
 	partitionDuration = 35 * time.Second       // observed time after the partition begins
 )
 
-// maxRepeats has all serving instances spend all repeats they are allowed for partitionDuration. It returns the maximum
-// within any window and the total. It calls beforeStep with the elapsed time before each step.
-func (f *fleetOf) maxRepeats(beforeStep func(elapsed time.Duration)) (most, total int) {
+// maxRepeats makes all serving instances use all retries that they are allowed during partitionDuration. It returns the
+// maximum within any window and the total. It calls beforeStep with the elapsed time before each step.
+func (f *testFleet) maxRepeats(beforeStep func(elapsed time.Duration)) (most, total int) {
 	var steps []int
 	for elapsed := time.Duration(0); elapsed < partitionDuration; elapsed += repeatInterval {
 		beforeStep(elapsed)
@@ -42,7 +42,7 @@
 	return most, total
 }
 
-// Guards against more repeats than operators allow when instances restart during a partition.
+// Guards against more retries than operators allow when instances restart during a partition.
 func TestRepeatsKeepToTheBoundInAPartition(t *testing.T) {
 	threeRestarts := []time.Duration{time.Second, 4 * time.Second, 9 * time.Second}
 	for name, c := range map[string]struct {
@@ -57,7 +57,7 @@
 		"halves, one restart, store outage":    {groups: 2, n: 8, restarts: threeRestarts[:1], outage: 5 * time.Second},
 		"halves, three restarts, store outage": {groups: 2, n: 78, restarts: threeRestarts, outage: 5 * time.Second},
 	} {
-		inFleet(t, c.n, func(f *fleetOf) {
+		runFleet(t, c.n, func(f *testFleet) {
 			f.extra = float64(extraPerInstance * c.n)
 			for i := range c.n {
 				f.restart(i) // applies f.extra
@@ -76,7 +76,7 @@
 				}
 			})
 			if bound := extraPerInstance * c.n; most > bound || total < bound/2 {
-				t.Errorf("%d instances, %s: %d repeats within a window, %d allowed; %d in total", c.n, name, most, bound, total)
+				t.Errorf("%d instances, %s: %d retries within a window, %d allowed; %d in total", c.n, name, most, bound, total)
 			}
 		})
 	}
@@ -86,7 +86,7 @@
 func TestSharesOfAColdTargetKeepToTheBoundInAPartition(t *testing.T) {
 	const rate = 16.0 // requests a second
 	for _, n := range []int{8, 58} {
-		inFleet(t, n, func(f *fleetOf) {
+		runFleet(t, n, func(f *testFleet) {
 			time.Sleep(20 * time.Second)
 			f.partition(func(i int) int { return i * 2 / n })
 			time.Sleep(time.Second)
--- a/internal/edge/run.go
+++ b/internal/edge/run.go
@@ -41,7 +41,7 @@
 	return err
 }
 
-// stop finishes what is in flight, as far as the time to stop allows.
+// stop finishes the requests and jobs in flight, as far as the grace period allows.
 func (i *Instance) stop() {
 	began := i.o.Clock.Now()
 	i.ingress.Stop()
@@ -54,7 +54,7 @@
 	for {
 		waited := i.o.Clock.Now().Sub(began)
 		idle := i.ingress.InFlight() == 0 && i.dispatcher.Jobs() == 0
-		if idle && waited >= quietAfterStop || waited >= i.settings().Grace.Duration-lastMargin {
+		if idle && waited >= minStopTime || waited >= i.settings().Grace.Duration-stopMargin {
 			break
 		}
 		time.Sleep(stopPoll)
--- a/internal/edge/scheduling.go
+++ b/internal/edge/scheduling.go
@@ -6,24 +6,24 @@
 	"lynxhill.example/lynxhill/internal/stagework"
 )
 
-// takeWork takes a job of another instance.
-func (i *Instance) takeWork(job stagework.Job) (stagework.Assignment, *stagework.Refusal) {
+// acceptJob accepts a job from another instance unless this one is stopping.
+func (i *Instance) acceptJob(job stagework.Job) (stagework.Assignment, *stagework.Refusal) {
 	if i.ingress.Stopping() {
 		return nil, nil
 	}
 	return i.finder.Take(job)
 }
 
-// targetsChanged tells the dispatcher of new routes or targets.
-func (i *Instance) targetsChanged() {
+// updateDispatcher passes the current routes and targets to the dispatcher.
+func (i *Instance) updateDispatcher() {
 	table, view := i.routes.Table(), i.routes.Targets()
 	i.dispatcher.SetTargets(table, view)
 	cells := i.dispatcher.Cells()
 	i.cells.Store(&cells)
 }
 
-// currentCells returns the parts into which the stage targets are divided. It
-// does not wait for the dispatcher, which may be making a plan.
+// currentCells returns the cells into which the stage targets are partitioned. It does
+// not wait for the dispatcher, which may be computing a plan.
 func (i *Instance) currentCells() []stagework.Cell {
 	if cells := i.cells.Load(); cells != nil {
 		return *cells
@@ -31,9 +31,9 @@
 	return []stagework.Cell{{Weight: 1}}
 }
 
-// dispatchers returns the instances that may schedule: all that are alive, this
-// one unless it is stopping.
-func (i *Instance) dispatchers() []string {
+// dispatcherCandidates returns the instances that may schedule: all that are alive, but
+// not this one if it is stopping.
+func (i *Instance) dispatcherCandidates() []string {
 	live := i.board.LiveMembers(i.id())
 	if i.ingress.Stopping() {
 		live = slices.DeleteFunc(live, func(id string) bool { return id == i.id() })
@@ -41,7 +41,8 @@
 	return live
 }
 
-// capacity is the processor time of an instance.
+// capacity returns the processor capacity of an instance, its share of a core times its
+// number of cores.
 func (i *Instance) capacity(instance string) float64 {
 	if instance == i.id() {
 		return i.cfg.Ingress.ProcessorShare * max(i.cfg.Ingress.ProcessorCores, 1)
--- a/internal/edge/settings.go
+++ b/internal/edge/settings.go
@@ -9,29 +9,29 @@
 	"lynxhill.example/lynxhill/internal/ingress"
 )
 
-// liveKeys are the settings that may change while an instance runs. What else
-// differs takes effect at the next start.
-var liveKeys = []string{
+// reloadableKeys are the settings that may change while an instance runs. Changes of
+// other settings take effect at the next start.
+var reloadableKeys = []string{
 	"ingress.address_ttl", "ingress.grace", "ingress.touch", "ingress.apply", "ingress.fail_closed", "ingress.revocation",
 	"ingress.retry_ratio", "ingress.retry_window", "ingress.retry_extra",
 	"ingress.cold_overage", "ingress.memory_mb", "ingress.descriptors", "ingress.reuse_window", "peers.seeds",
 }
 
-// retryKeys are those of the retry budget.
+// retryKeys are the settings of the retry budget.
 var retryKeys = []string{"ingress.retry_ratio", "ingress.retry_window", "ingress.retry_extra"}
 
-// settings returns the settings of the ingress that are in force. Of settings
-// that are no live keys it holds what the instance began with.
+// settings returns the ingress settings in force. Settings that are not in
+// reloadableKeys have the values given to New.
 func (i *Instance) settings() *config.Ingress { return &i.inForce.Load().Ingress }
 
-// Reload puts in force what can change while the instance runs. It returns the
-// keys that are now in force and differ from before, and those that take effect
-// at the next start. Requests in flight go on with what they began with. It must
-// not be called by two goroutines at once.
+// Reload applies the settings that can change while the instance runs. It returns the
+// keys whose new values are now in force and those whose new values take effect at the
+// next start. Requests in flight continue with the settings that they began with.
+// Reload must not be called concurrently.
 func (i *Instance) Reload(cfg config.Config) (changed, restart []string) {
 	running := *i.inForce.Load()
 	for _, key := range config.Differences(running, cfg) {
-		if slices.Contains(liveKeys, key) {
+		if slices.Contains(reloadableKeys, key) {
 			changed = append(changed, key)
 			continue
 		}
@@ -40,9 +40,9 @@
 	if len(changed) == 0 {
 		return nil, restart
 	}
-	live := withLive(running, cfg)
+	live := withReloadable(running, cfg)
 	i.inForce.Store(&live)
-	i.bound()
+	i.applyLimits()
 	i.dispatcher.SetReuse(live.Ingress.ReuseWindow.Duration)
 	if slices.ContainsFunc(changed, func(key string) bool { return slices.Contains(retryKeys, key) }) {
 		i.budget.SetBounds(live.Ingress.RetryRatio, live.Ingress.RetryExtra, live.Ingress.RetryWindow.Duration)
@@ -50,8 +50,8 @@
 	return changed, restart
 }
 
-// withLive returns running with the live keys of next.
-func withLive(running, next config.Config) config.Config {
+// withReloadable returns running with the reloadable settings of next.
+func withReloadable(running, next config.Config) config.Config {
 	live, to := &running.Ingress, next.Ingress
 	live.AddressTTL = to.AddressTTL
 	live.Grace = to.Grace
@@ -70,16 +70,16 @@
 	return running
 }
 
-// memoryShare is the part of the process's memory that the runtime may use. The
-// rest holds the program itself and what the kernel keeps for its sockets.
+// memoryShare is the part of the process's memory that the runtime may use. The rest is
+// for the program itself and the kernel's socket buffers.
 const memoryShare = 0.8
 
-// bound puts the bounds of memory and descriptors in force.
+// applyLimits applies the limits of memory and descriptors.
 //
-// Beside the bound of what callers can make the instance hold, the runtime is
-// told its limit: by itself it lets garbage grow to as much as is in use, and
-// the process is killed although little of its memory is needed.
-func (i *Instance) bound() {
+// Besides the limit of the memory that callers' requests can occupy, it sets the
+// runtime's limit: by default the runtime lets garbage grow to the size of the live
+// heap, and the process is killed although little of its memory is needed.
+func (i *Instance) applyLimits() {
 	s := i.settings()
 	i.ingress.SetBounds(ingress.BoundsOf(s.MemoryMB, s.Descriptors))
 	if i.o.LimitMemory == nil {
@@ -92,7 +92,7 @@
 	i.o.LimitMemory(limit)
 }
 
-// newForwarder returns a forwarder. It sets i.budget, whose bounds Reload changes.
+// newForwarder returns a forwarder. It also sets i.budget, whose limits Reload changes.
 func (i *Instance) newForwarder() *forwarding.Forwarder {
 	s := i.settings()
 	i.budget = forwarding.NewBudget(forwarding.BudgetOptions{
--- a/internal/edge/severed_test.go
+++ b/internal/edge/severed_test.go
@@ -16,10 +16,10 @@
 	"lynxhill.example/lynxhill/internal/virtualtest"
 )
 
-// storeConns are an instance's connections to the store. A call takes an idle one,
-// or opens one; one that fails closes all that are idle.
+// storeConns is an instance's connection pool to the store. A call uses an idle connection
+// or opens one; a failed call closes all idle connections.
 type storeConns struct {
-	mu   sync.Mutex // guards what follows
+	mu   sync.Mutex // guards the fields below
 	open map[*storeConn]bool
 	idle []*storeConn
 }
@@ -65,21 +65,21 @@
 	}
 }
 
-// severing says which open connections go silent for good.
+// severing describes which open connections go silent permanently.
 type severing struct {
-	share  float64 // of the instances
-	toPeer bool    // those between instances
-	oneWay bool    // these in the direction of who opened them alone
-	store  bool    // those to the store
+	share  float64 // share of the instances that are affected
+	toPeer bool    // connections between instances
+	oneWay bool    // these only in the direction towards the instance that opened them
+	store  bool    // connections to the store
 }
 
 func (s severing) String() string {
 	return fmt.Sprintf("share %v, peers %v (one way %v), store %v", s.share, s.toPeer, s.oneWay, s.store)
 }
 
-// sever makes open connections of the first instances in the store's ranking go
-// silent for good; new ones work.
-func (f *fleetOf) sever(s severing) {
+// sever makes open connections of the first instances in the ranking of watchers go
+// silent permanently; new connections work.
+func (f *testFleet) sever(s severing) {
 	struck := f.byRank()[:int(s.share*float64(len(f.all)))]
 	var addresses []string
 	for _, m := range struck {
@@ -93,7 +93,7 @@
 		for _, c := range m.socket.opened {
 			if s.toPeer && (slices.Contains(struck, m) || slices.Contains(addresses, c.to)) {
 				if s.oneWay {
-					c.deaf.Store(true)
+					c.receivesNothing.Store(true)
 				} else {
 					c.silent.Store(true)
 				}
@@ -103,9 +103,9 @@
 	}
 }
 
-// change puts a new target and a new table into the store and returns how to tell
-// whether an instance has both.
-func (f *fleetOf) change(n int) (inForce func(*member) bool, host string) {
+// change puts a new target and a new table into the store. It returns a function that
+// reports whether both are in force on an instance, and the host of the new route.
+func (f *testFleet) change(n int) (inForce func(*member) bool, host string) {
 	f.put(fmt.Sprintf("targets/s%d", n), fmt.Sprintf("10.0.1.%d:1", n))
 	object, err := f.store.Get(f.t.Context(), routesync.TableKey)
 	if err == nil {
@@ -121,14 +121,15 @@
 	}, addedHost(version)
 }
 
-// answerAtOnce is how soon an instance says that it may not know a route.
-const answerAtOnce = 500 * time.Millisecond
+// maxAnswerTime is the time within which an instance has to respond to a request for a
+// route that it may not know yet.
+const maxAnswerTime = 500 * time.Millisecond
 
-// severedCase is a fleet whose connections go silent several times, one after the
-// other, each time followed by a change.
+// severedCase is a fleet whose connections go silent several times in succession, each
+// time followed by a change.
 type severedCase struct {
 	instances int
-	delays    []time.Duration // from the silence to the change; each has a fleet of its own
+	delays    []time.Duration // from the silence to the change; each is tested with a separate fleet
 	severings []severing
 }
 
@@ -145,7 +146,7 @@
 	severedDelays = []time.Duration{100 * time.Millisecond, 300 * time.Millisecond, 800 * time.Millisecond, 1500 * time.Millisecond, 3 * time.Second}
 )
 
-// allSeverings plays all cases at all sizes, which takes minutes.
+// allSeverings runs all cases at all sizes, which takes minutes.
 var allSeverings = flag.Bool("all-severings", false, "play all cases of open connections that go silent at all sizes")
 
 func severedCases() []severedCase {
@@ -158,14 +159,14 @@
 	return []severedCase{small, large}
 }
 
-// Guards against late propagation of a change, and 404 for its route, when open connections go
-// silent for good while new ones work.
+// Guards against late propagation of a change, and 404 responses for its route, when open
+// connections go silent permanently while new ones work.
 func TestAChangeIsInTimeThoughOpenConnectionsGoSilent(t *testing.T) {
 	for _, c := range severedCases() {
 		for k, delay := range c.delays {
 			t.Run(fmt.Sprintf("%d instances, %v", c.instances, delay), func(t *testing.T) {
 				t.Parallel()
-				playFleet(t, c.instances, true, boundsAt(c.instances), func(f *fleetOf) {
+				runFleetWithBounds(t, c.instances, true, boundsAt(c.instances), func(f *testFleet) {
 					time.Sleep(14*time.Second + time.Duration(k)*270*time.Millisecond)
 					for k, s := range c.severings {
 						f.changeAfter(s, delay, k)
@@ -177,12 +178,13 @@
 	}
 }
 
-// settleTime is the time between two severings of a fleet.
+// settleTime is the time between two severings in a fleet.
 const settleTime = 7 * time.Second
 
-// changeAfter severs connections, makes a change after a delay and checks that it is
-// in force in time everywhere, and that who lacks it later does not deny it.
-func (f *fleetOf) changeAfter(s severing, delay time.Duration, k int) {
+// changeAfter severs connections, makes a change after a delay and checks that it is in
+// force in time on all instances, and that an instance without it does not respond that
+// its route does not exist.
+func (f *testFleet) changeAfter(s severing, delay time.Duration, k int) {
 	f.t.Helper()
 	f.sever(s)
 	time.Sleep(delay)
@@ -197,7 +199,7 @@
 		late++
 		asked, w := time.Now(), httptest.NewRecorder()
 		m.ingress.Server().Handler.ServeHTTP(w, httptest.NewRequest("GET", "http://"+host+"/x", nil))
-		if took := time.Since(asked); took > answerAtOnce {
+		if took := time.Since(asked); took > maxAnswerTime {
 			f.t.Errorf("%v: %s answered after %v", s, m.id(), took)
 		}
 		if w.Code == http.StatusNotFound {
@@ -205,7 +207,7 @@
 		}
 	}
 	if late > 0 || denied > 0 {
-		f.t.Errorf("%d instances, %v, change after %v: %d lack it %v later, %d deny its route", len(f.all), s, delay, late, f.bounds.apply, denied)
+		f.t.Errorf("%d instances, %v, change after %v: %d lack it %v later, %d respond 404 for its route", len(f.all), s, delay, late, f.bounds.apply, denied)
 	}
 	virtualtest.Until(f.t, 20*time.Millisecond, 30*time.Second, "all have the change", func() bool {
 		return !slices.ContainsFunc(f.all, func(m *member) bool { return !inForce(m) })
@@ -213,17 +215,18 @@
 	f.t.Logf("%d instances, %v, change after %v: in force everywhere after %v", len(f.all), s, delay, time.Since(made))
 }
 
-// noticeWithin is the time within which all heed what a target asks in its answers.
-const noticeWithin = 2 * time.Second
+// maxNoticeDelay is the time within which all instances have to follow a notice in a
+// target's responses.
+const maxNoticeDelay = 2 * time.Second
 
-// Guards against orders to evacuate, their end, and targets' requests that are late where open
-// connections go silent for good while new ones work.
+// Guards against evacuation orders, their end, and targets' notices that take effect late
+// when open connections go silent permanently while new ones work.
 func TestOrdersAndNoticesAreInTimeThoughOpenConnectionsGoSilent(t *testing.T) {
 	everything := severings[0]
 	for _, n := range evacuationFleets() {
 		t.Run(fmt.Sprintf("%d instances", n), func(t *testing.T) {
 			t.Parallel()
-			playFleet(t, n, true, boundsAt(n), func(f *fleetOf) {
+			runFleetWithBounds(t, n, true, boundsAt(n), func(f *testFleet) {
 				f.put("targets/b", "10.0.0.2:1@north")
 				time.Sleep(14 * time.Second)
 				check := func(what string, within time.Duration, make func(), each func(*member) bool) {
@@ -240,13 +243,13 @@
 					time.Sleep(settleTime)
 				}
 				evacuated := func(m *member) bool { return !m.routes.Targets().Usable("b") }
-				check("all have the order", evacuationWithin, func() { f.put("evacuations/north", "{}") }, evacuated)
-				check("all have it back", evacuationWithin, func() { f.remove("evacuations/north") },
+				check("all have the order", maxEvacuationDelay, func() { f.put("evacuations/north", "{}") }, evacuated)
+				check("all have the end of the order", maxEvacuationDelay, func() { f.remove("evacuations/north") },
 					func(m *member) bool { return !evacuated(m) })
 				limit := 2.0
-				check("all know the limit", noticeWithin, func() { f.all[1].heard("a", fleet.Notice{Limit: &limit}) },
+				check("all know the limit", maxNoticeDelay, func() { f.all[1].receiveNotice("a", fleet.Notice{Limit: &limit}) },
 					func(m *member) bool { _, named := m.notices.Limit("a"); return named })
-				check("all know that it leaves", noticeWithin, func() { f.all[2].heard("a", fleet.Notice{Leaving: true}) },
+				check("all know that it leaves", maxNoticeDelay, func() { f.all[2].receiveNotice("a", fleet.Notice{Leaving: true}) },
 					func(m *member) bool { return !m.routes.Targets().Usable("a") })
 			})
 		})
--- a/internal/edge/state.go
+++ b/internal/edge/state.go
@@ -14,119 +14,126 @@
 	"lynxhill.example/lynxhill/internal/stagecall"
 )
 
-// Times of what an instance believes.
+// Times of the detection of suspensions.
 const (
-	// suspensionTick is how often the clock is looked at, suspensionGap the
-	// gap from which on the process is held to have been suspended.
-	suspensionTick = 200 * time.Millisecond
-	suspensionGap  = 1200 * time.Millisecond
-	// wakingTime is how long an instance that woke waits for its configuration
-	// to be confirmed before it serves again without.
-	wakingTime = 1500 * time.Millisecond
+	// suspensionPollInterval is how often the clock is checked. If more than
+	// minSuspension passes between two checks, the process is considered to have been
+	// suspended.
+	suspensionPollInterval = 200 * time.Millisecond
+	minSuspension          = 1200 * time.Millisecond
+	// maxConfirmationWait is how long an instance waits after a suspension for the
+	// confirmation of its configuration before it serves without it.
+	maxConfirmationWait = 1500 * time.Millisecond
 )
 
-// grounds returns what an answer that there is no such route or key rests on here.
+// grounds returns the evidence for a response that a route or a key does not exist: the
+// age and source of the last confirmation of the routes, and whether it is recent
+// enough.
 func (i *Instance) grounds(ctx context.Context) ingress.Grounds {
 	age, source := i.routes.AssureRoutes(ctx)
 	return ingress.Grounds{Sure: age <= i.times().Change, Age: age, Source: source}
 }
 
-// times returns the times in which this instance learns of changes.
+// times returns the time limits for learning of changes that follow from the settings.
 func (i *Instance) times() routesync.Times {
 	s := i.settings()
 	return routesync.TimesOf(s.Apply.Duration, s.Touch.Duration)
 }
 
-// serving reports whether the instance takes requests.
+// serving reports whether the instance accepts requests.
 func (i *Instance) serving() bool {
-	i.look()
-	return i.routes.Known() && !i.keysLapsed() && !i.waking()
+	i.checkClock()
+	return i.routes.Known() && !i.mustFailClosed() && !i.awaitingConfirmation()
 }
 
-// keysLapsed reports whether keys that were taken away may still be known here,
-// and the settings say that nothing is served then. The store confirms no more
-// often than its watches end, so an instance that hears from it all the while is
-// let have that much time.
-func (i *Instance) keysLapsed() bool {
+// mustFailClosed reports whether this instance may still accept revoked keys and the
+// settings say that nothing is served in that case. The store confirms the
+// configuration only as often as its watches end, so the allowed age is at least the
+// time limit of a change; otherwise an instance in constant contact with the store
+// would fail closed.
+func (i *Instance) mustFailClosed() bool {
 	s := i.settings()
 	allowed := max(s.Revocation.Duration, i.times().Change)
 	return s.FailClosed && i.routes.ConfirmedAge() > allowed
 }
 
-// waking reports whether the instance was suspended and has not heard since
-// from the store. It may have missed a change that everyone else has in force.
-func (i *Instance) waking() bool {
-	woke := time.Duration(i.wokeAt.Load())
+// awaitingConfirmation reports whether the instance was suspended and its configuration
+// has not been confirmed since. It may have missed a change that is in force on all
+// other instances. It returns false once maxConfirmationWait has passed.
+func (i *Instance) awaitingConfirmation() bool {
+	woke := time.Duration(i.resumedAt.Load())
 	if woke == 0 {
 		return false
 	}
 	since := i.o.Boot.SinceBoot() - woke
-	if i.routes.ConfirmedAge() <= since || since > wakingTime {
-		i.wokeAt.CompareAndSwap(int64(woke), 0)
+	if i.routes.ConfirmedAge() <= since || since > maxConfirmationWait {
+		i.resumedAt.CompareAndSwap(int64(woke), 0)
 		return false
 	}
 	return true
 }
 
-// watchSuspension notices that the process did not run for a while, frozen or
-// with its machine suspended.
+// watchSuspension checks the clock periodically to detect that the process did not run
+// for a while because it was frozen or its host was suspended.
 func (i *Instance) watchSuspension(ctx context.Context) {
-	tick := time.NewTicker(suspensionTick)
+	tick := time.NewTicker(suspensionPollInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			i.look()
+			i.checkClock()
 		}
 	}
 }
 
-// look compares the time with that of the look before. Each request looks too:
-// timers stand still while a machine is suspended, so the first requests after
-// it woke come before the tick. They would be served by a configuration that may
-// have been replaced long ago.
-func (i *Instance) look() {
-	now, last := i.o.Boot.SinceBoot(), i.looked.Load()
+// checkClock compares the time with that of the previous check and has the
+// configuration confirmed after a suspension. Each request checks too: timers do not
+// advance while a host is suspended, so the first requests after it resumes arrive
+// before the next tick. They would be served with a configuration that may have been
+// replaced long ago.
+func (i *Instance) checkClock() {
+	now, last := i.o.Boot.SinceBoot(), i.lastClockCheck.Load()
 	gap := now - time.Duration(last)
-	if gap > suspensionGap {
-		i.wokeAt.Store(int64(now)) // before others find that somebody has looked
+	if gap > minSuspension {
+		i.resumedAt.Store(int64(now)) // before lastClockCheck shows other goroutines that the gap was detected
 	}
-	if i.looked.CompareAndSwap(last, int64(now)) && gap > suspensionGap {
+	if i.lastClockCheck.CompareAndSwap(last, int64(now)) && gap > minSuspension {
 		i.routes.Recheck()
 		i.o.Logger.Log(event.IngressWoke, "gap_ms", gap.Milliseconds())
 	}
 }
 
-// seeds returns the addresses of other instances to start from.
+// seeds returns the addresses of other instances that are contacted first.
 func (i *Instance) seeds() []string { return i.inForce.Load().Peers.Seeds }
 
-// meetTime is how long after the first reading of the members an instance may
-// not know all others: of instances that start together, the first reading shows
-// few.
-const meetTime = 4 * time.Second
+// memberDiscoveryTime is the time after the first reading of the members during which
+// an instance may not know all others: when instances start together, the first reading
+// shows only a few of them.
+const memberDiscoveryTime = 4 * time.Second
 
-// meetingTime is how long an instance that has started waits at most for the
-// list of instances before it decides who schedules stage work.
-const meetingTime = time.Second
+// memberListWait is the longest time that an instance waits after its start for the
+// list of instances before it decides which instance schedules stage work.
+const memberListWait = time.Second
 
-// meeting reports whether this instance has started and does not know yet who
-// the others are.
-func (i *Instance) meeting() bool {
-	return !i.members.ListRead() && i.running() < meetingTime && i.seeded() > 1
+// discoveringMembers reports whether this instance has just started and does not know
+// the other instances yet.
+func (i *Instance) discoveringMembers() bool {
+	return !i.members.ListRead() && i.uptime() < memberListWait && i.seededInstances() > 1
 }
 
-// running is how long this instance runs.
-func (i *Instance) running() time.Duration { return i.o.Boot.SinceBoot() - i.began }
+// uptime returns the time since New.
+func (i *Instance) uptime() time.Duration { return i.o.Boot.SinceBoot() - i.startedAt }
 
-// sharers returns how many instances share the extra repeats, 0 until this
-// instance has had time to hear of all. Unreachable instances count, because they
-// may still repeat requests on the other side of a partition.
-func (i *Instance) sharers() int { return len(i.everHeardOf()) }
+// sharers returns how many instances share the extra retries, 0 until this instance
+// has had time to discover all others. Unreachable instances count, because they may
+// still retry requests on the other side of a partition.
+func (i *Instance) sharers() int { return len(i.everKnownInstances()) }
 
-// seeded is how many instances the seeds name, and this one.
-func (i *Instance) seeded() int {
+// seededInstances returns the number of instances that the seeds name, including this
+// one.
+func (i *Instance) seededInstances() int {
 	named := map[string]bool{i.cfg.Listen.Peer: true}
 	for _, address := range i.seeds() {
 		if address != i.cfg.Ingress.Control {
@@ -136,24 +143,25 @@
 	return len(named)
 }
 
-// maxAddresses is how many addresses an answer names.
+// maxAddresses is the maximum number of addresses in a response.
 const maxAddresses = 64
 
-// addresses returns where callers in the place may connect.
-func (i *Instance) addresses(place string) []string {
+// addresses returns the addresses to which callers in the zone may connect, those in
+// the zone first.
+func (i *Instance) addresses(zone string) []string {
 	var near, far []string
 	for id, m := range i.board.Members.Snapshot() {
 		if id == i.id() || m.State != board.MemberAlive || m.CallerAddr == "" {
 			continue
 		}
-		if m.Place == place {
+		if m.Place == zone {
 			near = append(near, m.CallerAddr)
 		} else {
 			far = append(far, m.CallerAddr)
 		}
 	}
 	if !i.ingress.Stopping() {
-		if i.cfg.Instance.Place == place {
+		if i.cfg.Instance.Place == zone {
 			near = append(near, i.cfg.Ingress.Listen)
 		} else {
 			far = append(far, i.cfg.Ingress.Listen)
@@ -163,9 +171,9 @@
 	return all[:min(len(all), maxAddresses)]
 }
 
-// targetAlive asks whether a process listens at the target's address. Only one
-// that refuses the connection is held for dead: one that does not answer may
-// be cut off.
+// targetAlive reports whether a process listens at the target's address. Only a target
+// that refuses the connection is considered crashed: one that does not respond may be
+// cut off.
 func (i *Instance) targetAlive(ctx context.Context, t stagecall.Target) bool {
 	dial := i.o.Dial
 	if dial == nil {
--- a/internal/edge/storecalls.go
+++ b/internal/edge/storecalls.go
@@ -11,9 +11,9 @@
 
 var metricStoreCalls = metrics.Define("edge_store_calls_total", "calls", "Calls of the platform's store that this instance made, by what was done and to which kind of objects; those that failed count.")
 
-// countedPlatform counts the calls of the store. Each is paid for and counts
-// toward rates that the whole fleet shares, so that operators need to know what
-// makes them.
+// countedPlatform counts the calls of the store by kind. Each call is billed and counts
+// towards rate limits that the whole fleet shares, so operators need to know which calls
+// are made.
 type countedPlatform struct {
 	Platform
 	calls *expvar.Map
