--- a/internal/control/orders/adapters.go
+++ b/internal/control/orders/adapters.go
@@ -7,10 +7,11 @@
 	"lynxhill.example/lynxhill/internal/wire/targetapi"
 )
 
-// adapters brings the adapters of ready model versions to what is wanted.
+// adapters plans loads and unloads of adapters, so that ready model versions have
+// the wanted ones.
 func (p *planner) adapters() {
 	for i, e := range p.engines {
-		if !e.ordered() {
+		if !e.acceptsOrders() {
 			continue
 		}
 		for _, m := range e.Models {
@@ -39,8 +40,8 @@
 	}
 }
 
-// roles moves one engine to each role that has too few, from a role that has
-// more than it should or that nobody asks for.
+// roles moves one engine to each role that has too few, from a role that has too
+// many or that the plan does not name.
 func (p *planner) roles() {
 	counts := make(map[string]int)
 	for _, e := range p.engines {
@@ -49,10 +50,10 @@
 		}
 	}
 	wanted := make(map[string]int)
-	for _, r := range p.facts.Roles {
+	for _, r := range p.input.Roles {
 		wanted[r.Role] = r.Engines
 	}
-	for _, r := range p.facts.Roles {
+	for _, r := range p.input.Roles {
 		p.roleOne(r, counts, wanted)
 	}
 }
--- a/internal/control/orders/after.go
+++ b/internal/control/orders/apply.go
@@ -6,8 +6,8 @@
 	"lynxhill.example/lynxhill/internal/wire/targetapi"
 )
 
-// after returns the engines as they are once the plan has been carried out.
-func after(engines []Engine, plan Plan) []Engine {
+// applyPlan returns the engines as they are once the plan has been carried out.
+func applyPlan(engines []Engine, plan Plan) []Engine {
 	byID := make(map[string]int)
 	next := slices.Clone(engines)
 	for i, e := range next {
--- a/internal/control/orders/controller.go
+++ b/internal/control/orders/controller.go
@@ -25,7 +25,8 @@
 
 const jitter = 0.2
 
-// Controller gives orders for the services whose lease this instance holds.
+// Controller sends orders to the engines of the services whose lease this instance
+// holds.
 type Controller struct {
 	opts Options
 	rand *loop.Rand
@@ -34,26 +35,26 @@
 	services map[string]*service
 }
 
-// service is the state of one service while this instance gives its orders.
-// Only one goroutine at a time uses it.
+// service is the state of one service while this instance holds its lease. Only
+// one goroutine uses it at a time.
 type service struct {
 	name    string
 	memory  *memory
 	loads   *rate.Limiter
 	plan    lynxapi.ModelPlan
-	planned uint64 // version of the plan object
+	planned uint64 // version of the plan object read last
 	engines map[string]*engineState
 	guard   lastReady
 }
 
-// engineState is an engine's state as read back.
+// engineState is the state of an engine as it last reported it.
 type engineState struct {
-	report targetapi.LoadReport
-	at     time.Time // 0 if it could not be read
-	tried  time.Time
-	dirty  bool // an order was given since
-	// failures counts the orders in a row that were not taken; no other is
-	// given before retryAt.
+	report      targetapi.LoadReport
+	at          time.Time // when report was read; zero if the last read failed
+	lastAttempt time.Time
+	dirty       bool // an order was sent since the last read
+	// failures is the number of consecutive failed orders; no other order is
+	// sent before retryAt.
 	failures int
 	retryAt  time.Time
 }
@@ -63,25 +64,25 @@
 	return &Controller{opts: opts.withDefaults(), rand: loop.NewRand(opts.Rand), services: make(map[string]*service)}
 }
 
-// Run plans and gives orders until ctx ends.
+// Run plans and sends orders until ctx ends.
 func (c *Controller) Run(ctx context.Context) {
 	loop.Run(ctx, loop.Options{
 		Clock: c.opts.Clock, Rand: c.rand, Period: c.opts.Period, Jitter: jitter,
 	}, c.Step)
 }
 
-// Step does one round for every service whose lease is held.
+// Step runs one planning round for every service whose lease is held.
 func (c *Controller) Step(ctx context.Context) {
 	var running sync.WaitGroup
-	for _, s := range c.mine() {
+	for _, s := range c.heldServices() {
 		running.Go(func() { c.stepService(ctx, s) })
 	}
 	running.Wait()
 }
 
-// mine returns the services whose lease is held, and forgets the others, so
-// that a later lease starts from what the engines then report.
-func (c *Controller) mine() []*service {
+// heldServices returns the services whose lease is held, and discards the state of
+// the others, so that a later lease starts from what the engines report then.
+func (c *Controller) heldServices() []*service {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var held []*service
@@ -103,8 +104,8 @@
 	return held
 }
 
-// newService starts with no loads to spare: the order-giver before may just
-// have used the weight store's rate up.
+// newService returns a service whose rate limiter has no tokens: the previous
+// lease holder may just have used up the weight store's rate.
 func (c *Controller) newService(name string, services int) *service {
 	limiter := rate.NewLimiter(rate.Limit(c.opts.WeightRate/float64(max(1, services))), c.opts.WeightBurst)
 	limiter.AllowN(c.opts.Clock.Now(), c.opts.WeightBurst)
@@ -114,7 +115,7 @@
 	}
 }
 
-// stepService reads the engines back, plans, and gives the orders.
+// stepService reads the state of the engines, plans, and sends the orders.
 func (c *Controller) stepService(ctx context.Context, s *service) {
 	c.readPlan(s)
 	targets := serviceTargets(c.opts.Board, s.name)
@@ -124,21 +125,21 @@
 	now := c.opts.Clock.Now()
 	wanted := inForce(s.name, c.opts.Board.Profiles.Snapshot(), s.plan, c.opts.MinReady)
 	if len(wanted) == 0 {
-		return // nothing is known to be wanted: not the same as nothing wanted
+		return // profiles and plan may not be known yet, so nothing is unloaded
 	}
-	facts := s.memory.facts(c.opts, now, engines, wanted)
-	facts.Roles = s.plan.Roles
-	facts.Loads = int(s.loads.TokensAt(now))
-	s.guard.remember(facts)
-	plan := Make(facts)
+	input := s.memory.input(c.opts, now, engines, wanted)
+	input.Roles = s.plan.Roles
+	input.Loads = int(s.loads.TokensAt(now))
+	s.guard.snapshot(input)
+	plan := MakePlan(input)
 	c.opts.Metrics.Counter(metricUnmet).Set(int64(len(plan.Unmet)))
 	c.publish(engines, plan)
 	for _, step := range plan.Steps {
-		c.give(ctx, s, facts, step)
+		c.execute(ctx, s, input, step)
 	}
 }
 
-// engines turns the read-back states into the planner's facts.
+// engines converts the reported states to the planner's input.
 func (c *Controller) engines(s *service, targets []board.Target) []Engine {
 	now := c.opts.Clock.Now()
 	var engines []Engine
@@ -148,7 +149,7 @@
 		if state != nil && !state.at.IsZero() {
 			r := state.report
 			e.Models, e.Role, e.Running, e.Queued, e.Slots = r.Models, r.Role, r.Running, r.Queued, r.Slots
-			fresh := now.Sub(state.at) <= 2*c.opts.ReadEvery
+			fresh := now.Sub(state.at) <= 2*c.opts.ReadInterval
 			e.Refuses = now.Before(state.retryAt)
 			e.Usable = fresh && !t.Leaving && !r.Leaving && !c.opts.Board.TargetDrained(t)
 		}
@@ -157,7 +158,8 @@
 	return engines
 }
 
-// readBack reads the state of engines that are due.
+// readBack reads the state of the engines that are due for it, and discards the
+// state of engines that are no longer targets of the service.
 func (c *Controller) readBack(ctx context.Context, s *service, targets []board.Target) {
 	listed := make(map[string]bool)
 	for _, t := range targets {
@@ -183,17 +185,17 @@
 	reading.Wait()
 }
 
-// due is true for engines with pending orders or loads, and for the others
-// every ReadEvery.
+// due reports whether an engine's state is to be read: in every round while orders
+// or loads are pending, otherwise once per ReadInterval.
 func (c *Controller) due(state *engineState) bool {
-	if state.dirty || (Engine{Models: state.report.Models}).changing() {
+	if state.dirty || (Engine{Models: state.report.Models}).loading() {
 		return true
 	}
-	return c.opts.Clock.Now().Sub(state.tried) >= c.opts.ReadEvery
+	return c.opts.Clock.Now().Sub(state.lastAttempt) >= c.opts.ReadInterval
 }
 
 func (c *Controller) readOne(ctx context.Context, t board.Target, state *engineState) {
-	state.tried = c.opts.Clock.Now()
+	state.lastAttempt = c.opts.Clock.Now()
 	report, err := c.state(ctx, t)
 	if err != nil {
 		state.at = time.Time{}
@@ -208,9 +210,9 @@
 	return c.opts.Caller.State(callCtx, stagecall.Target{ID: t.ID, Address: t.Address})
 }
 
-// publish writes what each engine should hold to the board.
+// publish writes to the board which models and role each engine should have.
 func (c *Controller) publish(engines []Engine, plan Plan) {
-	for _, e := range after(engines, plan) {
+	for _, e := range applyPlan(engines, plan) {
 		c.opts.Board.Placements.Put(e.ID, board.Placement{Models: e.Models, Role: e.Role})
 	}
 }
--- a/internal/control/orders/controller_test.go
+++ b/internal/control/orders/controller_test.go
@@ -21,14 +21,14 @@
 
 const pool = "lynx-pool"
 
-// always is a lease that never ends.
-type always struct{}
+// permanentLease is a lease that never ends.
+type permanentLease struct{}
 
-func (always) Check(string, time.Duration, bool) (lease.Grant, bool) {
+func (permanentLease) Check(string, time.Duration, bool) (lease.Grant, bool) {
 	return lease.Grant{Fence: 1, Until: 1 << 62}, true
 }
 
-func (always) OrderTimeout() time.Duration { return 5 * time.Second }
+func (permanentLease) OrderTimeout() time.Duration { return 5 * time.Second }
 
 func profileOf(name string, providers ...profile.Provider) profile.Versioned {
 	return profile.Versioned{Version: 1, Profile: profile.Profile{Name: name, Stages: []profile.Stage{
@@ -48,12 +48,12 @@
 	return b
 }
 
-// run starts a controller that holds the lease all the time.
+// run starts a controller that always holds the lease.
 func run(f *fakeEngines, b *board.Board, change func(*Options)) (stop func()) {
 	began := time.Now()
 	b.Leases.Put(pool, board.Lease{Service: pool, Mine: true})
 	o := Options{
-		Caller: f, Store: memstore.New(memstore.Options{}), Board: b, Lease: always{}, Clock: quartz.NewReal(),
+		Caller: f, Store: memstore.New(memstore.Options{}), Board: b, Lease: permanentLease{}, Clock: quartz.NewReal(),
 		Boot: clock.BootFunc(func() time.Duration { return time.Since(began) }),
 		Rand: rand.New(rand.NewPCG(1, 1)), Self: "i-00", WeightRate: 1,
 	}
@@ -95,9 +95,9 @@
 	})
 }
 
-// Symptom: requests for a model find no target during a roll-out.
-// Events: engines have room for one version only; the profile moves to v2.
-// Cause: the old version was unloaded everywhere to make room.
+// Guards against requests for a model finding no target during a roll-out: engines
+// have room for one version only, the profile moves to v2, and the old version is
+// unloaded everywhere to free room.
 func TestRollOutKeepsTheLastReadyEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newEngines(3, false)
@@ -125,33 +125,33 @@
 	})
 }
 
-// fenced is the lease of a new holder: the orders of the one before may still
-// be under way.
-type fenced struct{}
+// newHolderLease is the lease of a new holder while orders of the previous holder
+// may still be in transit.
+type newHolderLease struct{}
 
-func (fenced) Check(_ string, _ time.Duration, checksFence bool) (lease.Grant, bool) {
+func (newHolderLease) Check(_ string, _ time.Duration, checksFence bool) (lease.Grant, bool) {
 	return lease.Grant{Fence: 2, Until: 1 << 62, UncheckedFrom: 1 << 61}, checksFence
 }
 
-func (fenced) OrderTimeout() time.Duration { return 5 * time.Second }
+func (newHolderLease) OrderTimeout() time.Duration { return 5 * time.Second }
 
-// Symptom: a model is ready nowhere after a change of the order-giver.
-// Events: the old giver's unload on one engine is still under way when the new
-// one unloads the model from the other, which it saw ready on the first.
-// Cause: an engine that checks fences takes the old order as long as it has
-// not seen the new fence.
-func TestUnloadsWaitUntilOldOrdersHaveRunOut(t *testing.T) {
+// Guards against a model being ready on no engine after a change of the lease
+// holder: the old holder's unload on one engine is still in transit when the new
+// holder, which saw the model ready on that engine, unloads it from the other. An
+// engine that checks fencing tokens accepts the old order until it has seen the new
+// token.
+func TestUnloadsWaitUntilOldOrdersHaveExpired(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newEngines(4, true)
 		old := targetapi.LoadedModel{Model: "lynx", Version: "v0", Ready: true}
 		f.engines[engineID(0)].models = []targetapi.LoadedModel{old}
 		b := boardWith(f)
 		b.Profiles.Put("report", profileOf("report", provider("v1", "")))
-		stop := run(f, b, func(o *Options) { o.Lease = fenced{} })
+		stop := run(f, b, func(o *Options) { o.Lease = newHolderLease{} })
 		time.Sleep(10 * time.Minute)
 		stop()
 		kinds := make(map[string]int)
-		for _, d := range f.done() {
+		for _, d := range f.executed() {
 			kinds[d.order.Kind]++
 		}
 		if kinds[targetapi.OrderLoad] == 0 || kinds[targetapi.OrderUnload] != 0 {
@@ -160,18 +160,18 @@
 	})
 }
 
-func TestLoadsKeepToTheWeightRate(t *testing.T) {
+func TestLoadsStayWithinTheWeightRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newEngines(40, true)
 		b := boardWith(f)
 		b.Profiles.Put("report", profileOf("report", provider("v1", "a")))
 		const rate, burst = 0.2, 3
 		stop := run(f, b, func(o *Options) {
-			o.WeightRate, o.WeightBurst, o.MinReady, o.ChangingShare = rate, burst, 40, 1
+			o.WeightRate, o.WeightBurst, o.MinReady, o.MaxLoadingShare = rate, burst, 40, 1
 		})
 		time.Sleep(10 * time.Minute)
 		stop()
-		all := f.done()
+		all := f.executed()
 		if len(all) < 80 {
 			t.Fatalf("%d loads in ten minutes, want all 80 of models and adapters", len(all))
 		}
@@ -200,7 +200,7 @@
 			t.Fatal(err)
 		}
 		if _, err := c.SetPlan(t.Context(), plan); !errkind.Is(err, errkind.Conflict) {
-			t.Fatalf("a plan over one not seen: %v, want conflict", err)
+			t.Fatalf("SetPlan with an outdated version: %v, want conflict", err)
 		}
 		if plans, _ := c.Plans(t.Context()); len(plans) != 1 || plans[0].IfVersion == 0 {
 			t.Errorf("plans in force: %+v", plans)
@@ -223,9 +223,9 @@
 	})
 }
 
-// Symptom: an engine stays without its model after its process was replaced.
-// Events: the engine restarts empty; nobody tells the order-giver.
-// Cause: orders given once were taken for done.
+// Guards against an engine staying without its model after its process was
+// replaced: the engine restarts empty without notice to the lease holder, which
+// assumes that an order sent once stays carried out.
 func TestLostModelsAreLoadedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newEngines(2, true)
@@ -245,7 +245,7 @@
 	})
 }
 
-func TestDemandMovesCountsSlowly(t *testing.T) {
+func TestScalingIsDamped(t *testing.T) {
 	v := ModelVersion{"lynx", "v1"}
 	engines := func(n, running int) []Engine {
 		all := make([]Engine, n)
@@ -267,7 +267,7 @@
 	}
 	swing := func(i int) int { return []int{1, 10}[i/10%2] }
 	if count := drive(3600, 4, swing); count != 4 {
-		t.Errorf("a load that swings every 10 s moved the count from 4 to %d", count)
+		t.Errorf("a load that alternates every 10 s changed the count from 4 to %d", count)
 	}
 	if count := drive(25, 4, func(int) int { return 10 }); count != 7 {
 		t.Errorf("25 s of full load: count %d, want 7", count)
@@ -280,10 +280,10 @@
 	}
 }
 
-// Symptom: a model stays unloaded, and the log fills with failed orders.
-// Events: the engine that suits best answers every order with an error.
-// Cause: the same order was given to it every second for good.
-func TestEngineThatTakesNoOrdersIsLeftOut(t *testing.T) {
+// Guards against a model staying unloaded while the log fills with failed orders:
+// the best engine for the model answers every order with an error, and the same
+// order is sent to it every second indefinitely.
+func TestEngineThatRejectsOrdersIsNotRetriedEverySecond(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newEngines(3, true)
 		f.engines[engineID(0)].refuses = true
@@ -295,8 +295,8 @@
 		if n := f.ready(ModelVersion{"lynx", "v1"}); n != 2 {
 			t.Errorf("%d engines have the model ready, want 2", n)
 		}
-		if n := f.engines[engineID(0)].asked; n == 0 || n > 20 {
-			t.Errorf("the engine that takes no orders got %d", n)
+		if n := f.engines[engineID(0)].received; n == 0 || n > 20 {
+			t.Errorf("the engine that rejects all orders received %d, want 1 to 20", n)
 		}
 	})
 }
--- a/internal/control/orders/fake_test.go
+++ b/internal/control/orders/fake_test.go
@@ -19,7 +19,7 @@
 	highFence   uint64
 	running     int
 	refuses     bool
-	asked       int // orders that reached it
+	received    int // orders that reached it
 	down        bool
 }
 
@@ -31,12 +31,12 @@
 	mu       sync.Mutex // guards all below
 	engines  map[string]*fakeEngine
 	loadTime time.Duration
-	delay    func() time.Duration // of each order, on each way
-	orders   []done
+	delay    func() time.Duration // of each order and of each reply
+	orders   []executedOrder
 }
 
-// done is an order that an engine carried out.
-type done struct {
+// executedOrder is an order that an engine carried out.
+type executedOrder struct {
 	engine      string
 	order       targetapi.Order
 	checksFence bool
@@ -53,8 +53,8 @@
 
 func engineID(i int) string { return fmt.Sprintf("e-%02d", i) }
 
-// way is how long an order or its reply is under way.
-func (f *fakeEngines) way() time.Duration {
+// transitDelay returns how long an order or its reply is in transit.
+func (f *fakeEngines) transitDelay() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.delay == nil {
@@ -79,13 +79,13 @@
 	return targetapi.LoadReport{Target: t.ID, Slots: 8, Running: e.running, Role: e.role, Models: models, HighFence: e.highFence}, nil
 }
 
-// Order delivers the order even if the giver stops waiting for the reply.
+// Order delivers the order even if the sender stops waiting for the reply.
 func (f *fakeEngines) Order(ctx context.Context, t stagecall.Target, o targetapi.Order) error {
 	if ctx.Err() != nil {
 		return &stagecall.Failure{Class: stagecall.ClassCancelled, Err: ctx.Err(), NotRun: true}
 	}
 	sent := time.Now()
-	there, back := f.way(), f.way()
+	there, back := f.transitDelay(), f.transitDelay()
 	reply := make(chan error, 1)
 	go func() {
 		time.Sleep(there)
@@ -108,7 +108,7 @@
 	if e.down {
 		return &stagecall.Failure{Class: stagecall.ClassConnect}
 	}
-	e.asked++
+	e.received++
 	if e.refuses {
 		return &stagecall.Failure{Class: stagecall.ClassFailed, Code: targetapi.CodeFailed}
 	}
@@ -116,7 +116,7 @@
 		return &stagecall.Failure{Class: stagecall.ClassRefused, Code: targetapi.CodeOldFence, NotRun: true}
 	}
 	e.highFence = max(e.highFence, o.Fence)
-	f.orders = append(f.orders, done{engine: id, order: o, checksFence: e.checksFence, sent: sent, at: time.Now()})
+	f.orders = append(f.orders, executedOrder{engine: id, order: o, checksFence: e.checksFence, sent: sent, at: time.Now()})
 	image := Engine{Models: e.models, Role: e.role}
 	applyOrder(&image, o)
 	e.models, e.role = image.Models, image.Role
@@ -136,7 +136,7 @@
 	}
 }
 
-// ready counts the engines that have the model version ready.
+// ready returns the number of engines that have the model version ready.
 func (f *fakeEngines) ready(v ModelVersion) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -149,7 +149,7 @@
 	return n
 }
 
-func (f *fakeEngines) done() []done {
+func (f *fakeEngines) executed() []executedOrder {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.orders)
--- a/internal/control/orders/facts.go
+++ b/internal/control/orders/input.go
@@ -5,21 +5,22 @@
 	"lynxhill.example/lynxhill/internal/wire/targetapi"
 )
 
-// ModelVersion names weights.
+// ModelVersion identifies the weights of a model.
 type ModelVersion struct {
 	Model   string
 	Version string
 }
 
-// Engine is what the planner knows of an engine.
+// Engine is the planner's view of an engine.
 type Engine struct {
 	ID    string
 	Place string
-	// Usable engines answer, are not leaving and not drained. Others get no
-	// orders and do not count as ready.
+	// Usable is whether the engine responds, is not leaving and is not drained.
+	// Engines that are not usable get no orders and do not count as ready.
 	Usable bool
-	// Refuses engines did not take their last orders: for a while they get no
-	// others, so that the planner picks another engine.
+	// Refuses is whether the engine's last order failed and its backoff has not
+	// ended. Until then it gets no orders, so that the planner chooses another
+	// engine.
 	Refuses bool
 	Models  []targetapi.LoadedModel
 	Role    string
@@ -28,28 +29,30 @@
 	Slots   int
 }
 
-// Want is a model version in force with the number of engines for it.
+// Want is a model version in force with the number of engines wanted for it.
 type Want struct {
 	ModelVersion
 	Adapters []string
-	Min      int // engines at least, also when others need the room
-	Count    int // engines by demand, Min or more
+	Min      int // minimum number of engines, also when other versions need the room
+	Count    int // number of engines according to demand, at least Min
 }
 
-// Facts are all that a plan rests on.
-type Facts struct {
+// PlanInput is all the input of a plan.
+type PlanInput struct {
 	Engines []Engine
 	// Wants are the model versions in force.
 	Wants []Want
-	// Kept are those that were in force until lately: not loaded anywhere
-	// anew, and not unloaded.
-	Kept            []ModelVersion
+	// Retained are the model versions that were in force until recently. They
+	// are not loaded on further engines, and not unloaded unless a version in
+	// force needs the room to reach its minimum.
+	Retained        []ModelVersion
 	Roles           []lynxapi.RoleWant
 	ModelsPerEngine int
-	// Loads is how many loads of weights the weight store's rate allows now.
+	// Loads is the number of loads of weights that the rate limit of the weight
+	// store allows now.
 	Loads int
-	// MaxChanging is how many engines may be loading weights at a time.
-	MaxChanging int
+	// MaxLoading is the number of engines that may be loading weights at a time.
+	MaxLoading int
 }
 
 // Step is an order for one engine.
@@ -66,8 +69,8 @@
 	Unmet []ModelVersion
 }
 
-// ordered reports whether the engine gets orders.
-func (e Engine) ordered() bool { return e.Usable && !e.Refuses }
+// acceptsOrders reports whether orders may be sent to the engine.
+func (e Engine) acceptsOrders() bool { return e.Usable && !e.Refuses }
 
 // readyOn reports whether the engine can serve the model version.
 func (e Engine) readyOn(v ModelVersion) bool {
@@ -84,8 +87,8 @@
 	return targetapi.LoadedModel{}, false
 }
 
-// changing reports whether the engine is loading weights.
-func (e Engine) changing() bool {
+// loading reports whether the engine is loading weights.
+func (e Engine) loading() bool {
 	for _, m := range e.Models {
 		if !m.Ready {
 			return true
@@ -94,12 +97,13 @@
 	return false
 }
 
-// load is the engine's work in its own slots; above 1 there is a queue.
+// load returns the engine's running and queued work divided by its slots; above 1
+// there is a queue.
 func (e Engine) load() float64 {
 	return float64(e.Running+e.Queued) / float64(max(1, e.Slots))
 }
 
-// countReady is the number of engines that can serve the model version.
+// countReady returns the number of engines that can serve the model version.
 func countReady(engines []Engine, v ModelVersion) int {
 	n := 0
 	for _, e := range engines {
--- a/internal/control/orders/lastready.go
+++ b/internal/control/orders/lastready.go
@@ -5,16 +5,17 @@
 	"lynxhill.example/lynxhill/internal/wire/targetapi"
 )
 
-// lastReady watches that our own orders never take the last ready engine of a
-// model version in force away. It compares what was read back before and after
-// the orders; an engine that died or was restarted is no broken promise.
+// lastReady checks the invariant that this instance's own orders never remove the
+// last ready engine of a model version in force. It compares the reported states
+// before and after the orders; an engine that died or was restarted is not a
+// violation.
 type lastReady struct {
-	ready    map[ModelVersion][]string // engines that were ready for each version in force
-	unloaded map[string]ModelVersion   // engines given an unload since
+	ready    map[ModelVersion][]string // engines that were ready, for each version in force
+	unloaded map[string]ModelVersion   // engines that an unload was sent to since, with its version
 }
 
-// remember notes the ready engines before orders are given.
-func (l *lastReady) remember(f Facts) {
+// snapshot records the ready engines before orders are sent.
+func (l *lastReady) snapshot(f PlanInput) {
 	l.ready = make(map[ModelVersion][]string)
 	l.unloaded = make(map[string]ModelVersion)
 	for _, w := range f.Wants {
@@ -26,13 +27,13 @@
 	}
 }
 
-func (s *service) noteUnload(step Step) {
+func (s *service) recordUnload(step Step) {
 	if step.Order.Kind == targetapi.OrderUnload && s.guard.unloaded != nil {
 		s.guard.unloaded[step.Engine] = ModelVersion{Model: step.Order.Model, Version: step.Order.Version}
 	}
 }
 
-// checkLastReady asserts the promise on the states read back.
+// checkLastReady checks the invariant against the states read after the orders.
 func (c *Controller) checkLastReady(s *service, engines []Engine) {
 	for v, before := range s.guard.ready {
 		if countReady(engines, v) > 0 {
--- a/internal/control/orders/plan.go
+++ b/internal/control/orders/plan.go
@@ -7,10 +7,10 @@
 	"lynxhill.example/lynxhill/internal/wire/targetapi"
 )
 
-// Make returns the orders that are due now. It is a pure function of the
-// facts. Every prefix of the steps, carried out or not, leaves each model
-// version in force that is ready somewhere ready somewhere.
-func Make(f Facts) Plan {
+// MakePlan returns the orders to send now. It is a pure function of its input. It
+// guarantees for every prefix of the steps, carried out or not, that each model
+// version in force which is ready on some engine stays ready on some engine.
+func MakePlan(f PlanInput) Plan {
 	p := newPlanner(f)
 	p.loadWanted()
 	p.unloadUnwanted()
@@ -20,24 +20,25 @@
 	return p.plan
 }
 
-// planner works on a copy of the engines in which the orders planned so far
-// have been carried out in the worst way: a load is not ready yet, an unload
-// has happened.
+// planner works on a copy of the engines that assumes the worst case for the
+// orders planned so far: a load has started but is not ready, and an unload has
+// been carried out.
 type planner struct {
-	facts   Facts
-	engines []Engine
-	wants   map[ModelVersion]Want
-	kept    map[ModelVersion]bool
-	loads   int
-	// reserved is the room made on an engine for a model version that is
-	// loaded once the room is seen to be free. Another version that took it
-	// would be unloaded again in the next plan, without end.
+	input    PlanInput
+	engines  []Engine
+	wants    map[ModelVersion]Want
+	retained map[ModelVersion]bool
+	loads    int
+	// reserved is the number of model versions, by index of the engine, for which
+	// room was freed on the engine and which are loaded once the engine reports the
+	// room as free. If another version were loaded there, the next plan would
+	// unload it again, and so on without end.
 	reserved map[int]int
 	plan     Plan
 }
 
-func newPlanner(f Facts) *planner {
-	p := &planner{facts: f, wants: make(map[ModelVersion]Want), kept: make(map[ModelVersion]bool), loads: f.Loads, reserved: make(map[int]int)}
+func newPlanner(f PlanInput) *planner {
+	p := &planner{input: f, wants: make(map[ModelVersion]Want), retained: make(map[ModelVersion]bool), loads: f.Loads, reserved: make(map[int]int)}
 	for _, e := range f.Engines {
 		e.Models = slices.Clone(e.Models)
 		p.engines = append(p.engines, e)
@@ -46,16 +47,16 @@
 	for _, w := range f.Wants {
 		p.wants[w.ModelVersion] = w
 	}
-	for _, v := range f.Kept {
-		p.kept[v] = true
+	for _, v := range f.Retained {
+		p.retained[v] = true
 	}
 	return p
 }
 
-// ordered returns the wants, those with the fewest ready engines for their
-// minimum first.
-func (p *planner) ordered() []Want {
-	wants := slices.Clone(p.facts.Wants)
+// wantsByShortage returns the wants, ordered by the number of engines that have the
+// version or load it, relative to its minimum; the lowest come first.
+func (p *planner) wantsByShortage() []Want {
+	wants := slices.Clone(p.input.Wants)
 	short := func(w Want) float64 { return float64(p.holders(w.ModelVersion)) / float64(max(1, w.Min)) }
 	sort.SliceStable(wants, func(i, j int) bool {
 		a, b := wants[i], wants[j]
@@ -74,7 +75,8 @@
 	return a.Version < b.Version
 }
 
-// holders counts the usable engines that have the model version or load it.
+// holders returns the number of usable engines that have the model version or are
+// loading it.
 func (p *planner) holders(v ModelVersion) int {
 	n := 0
 	for _, e := range p.engines {
@@ -85,10 +87,10 @@
 	return n
 }
 
-func (p *planner) changing() int {
+func (p *planner) loading() int {
 	n := 0
 	for _, e := range p.engines {
-		if e.Usable && e.changing() {
+		if e.Usable && e.loading() {
 			n++
 		}
 	}
@@ -97,7 +99,7 @@
 
 // loadWanted loads model versions that have too few engines.
 func (p *planner) loadWanted() {
-	for _, w := range p.ordered() {
+	for _, w := range p.wantsByShortage() {
 		for p.holders(w.ModelVersion) < w.Count {
 			if !p.loadOne(w) {
 				break
@@ -106,11 +108,11 @@
 	}
 }
 
-// loadOne plans one load, or the unload that makes room for it. It returns
-// false if nothing more can be done for the want now.
+// loadOne plans one load, or the unload that frees room for it. It returns false if
+// nothing more can be done for the want in this plan.
 func (p *planner) loadOne(w Want) bool {
 	if i, ok := p.roomFor(w.ModelVersion); ok {
-		if p.loads <= 0 || p.changing() >= p.facts.MaxChanging && !p.engines[i].changing() {
+		if p.loads <= 0 || p.loading() >= p.input.MaxLoading && !p.engines[i].loading() {
 			return false
 		}
 		p.loads--
@@ -121,7 +123,7 @@
 	if i, victim, ok := p.evictable(w); ok {
 		p.unload(i, victim)
 		p.reserved[i]++
-		return false // the load follows when the room is seen to be free
+		return false // the load follows once the engine reports the room as free
 	}
 	if p.holders(w.ModelVersion) < w.Min {
 		p.plan.Unmet = append(p.plan.Unmet, w.ModelVersion)
@@ -129,20 +131,22 @@
 	return false
 }
 
-// roomFor returns the best engine with room for the model version.
+// roomFor returns the best engine with room for the model version: in the zone with
+// the fewest engines that have it, then with the fewest models, then with the
+// lowest load.
 func (p *planner) roomFor(v ModelVersion) (int, bool) {
-	inPlace := make(map[string]int)
+	inZone := make(map[string]int)
 	for _, e := range p.engines {
 		if _, has := e.model(v); has && e.Usable {
-			inPlace[e.Place]++
+			inZone[e.Place]++
 		}
 	}
 	return p.best(func(i int, e Engine) bool {
 		_, has := e.model(v)
-		return !has && len(e.Models)+p.reserved[i] < p.facts.ModelsPerEngine
+		return !has && len(e.Models)+p.reserved[i] < p.input.ModelsPerEngine
 	}, func(a, b Engine) bool {
-		if inPlace[a.Place] != inPlace[b.Place] {
-			return inPlace[a.Place] < inPlace[b.Place]
+		if inZone[a.Place] != inZone[b.Place] {
+			return inZone[a.Place] < inZone[b.Place]
 		}
 		if len(a.Models) != len(b.Models) {
 			return len(a.Models) < len(b.Models)
@@ -151,12 +155,12 @@
 	})
 }
 
-// best returns the usable engine that takes orders, fits and is better than the
-// others, the first by id among equals.
+// best returns the index of the best engine among those that accept orders and
+// fit; among equals, the first by ID.
 func (p *planner) best(fits func(int, Engine) bool, better func(a, b Engine) bool) (int, bool) {
 	best, found := 0, false
 	for i, e := range p.engines {
-		if !e.ordered() || !fits(i, e) {
+		if !e.acceptsOrders() || !fits(i, e) {
 			continue
 		}
 		if !found || better(e, p.engines[best]) {
--- a/internal/control/orders/plan_test.go
+++ b/internal/control/orders/plan_test.go
@@ -13,11 +13,11 @@
 	"lynxhill.example/lynxhill/internal/wire/targetapi"
 )
 
-// randomFacts makes facts of up to eight engines and five model versions from a
-// seed.
-func randomFacts(seed uint64) Facts {
+// randomInput returns a planner input with up to eight engines and five model
+// versions, generated from a seed.
+func randomInput(seed uint64) PlanInput {
 	rng := rand.New(rand.NewPCG(seed, 5))
-	f := Facts{ModelsPerEngine: 1 + rng.IntN(3), Loads: rng.IntN(4), MaxChanging: 1 + rng.IntN(3)}
+	f := PlanInput{ModelsPerEngine: 1 + rng.IntN(3), Loads: rng.IntN(4), MaxLoading: 1 + rng.IntN(3)}
 	versions := randomVersions(rng, &f)
 	for i := range 1 + rng.IntN(8) {
 		e := Engine{ID: engineID(i), Place: fmt.Sprint("place-", rng.IntN(3)), Usable: rng.Float64() < 0.85, Slots: 8, Running: rng.IntN(9)}
@@ -31,15 +31,15 @@
 	return f
 }
 
-// randomVersions returns model versions, each in force, kept or neither.
-func randomVersions(rng *rand.Rand, f *Facts) []ModelVersion {
+// randomVersions returns model versions, each in force, retained or neither.
+func randomVersions(rng *rand.Rand, f *PlanInput) []ModelVersion {
 	var versions []ModelVersion
 	for i := range 1 + rng.IntN(5) {
 		v := ModelVersion{Model: fmt.Sprint("m-", i/2), Version: fmt.Sprint("v", i%2)}
 		versions = append(versions, v)
 		switch rng.IntN(4) {
 		case 0:
-			f.Kept = append(f.Kept, v)
+			f.Retained = append(f.Retained, v)
 		case 1:
 		default:
 			lowest := 1 + rng.IntN(2)
@@ -49,8 +49,8 @@
 	return versions
 }
 
-// brokenBy returns why the plan breaks a rule, "" if it breaks none.
-func brokenBy(f Facts, plan Plan) string {
+// violationOf returns the rule that the plan violates, or "" if it violates none.
+func violationOf(f PlanInput, plan Plan) string {
 	usable := make(map[string]bool)
 	for _, e := range f.Engines {
 		usable[e.ID] = e.Usable
@@ -60,10 +60,10 @@
 		if !usable[step.Engine] {
 			return "order to an engine that is not usable"
 		}
-		if takesWeights(step.Order.Kind) {
+		if loadsWeights(step.Order.Kind) {
 			loads++
 		}
-		state := after(f.Engines, Plan{Steps: plan.Steps[:n+1]})
+		state := applyPlan(f.Engines, Plan{Steps: plan.Steps[:n+1]})
 		if why := lastReadyTaken(f, state); why != "" {
 			return why
 		}
@@ -71,7 +71,7 @@
 	if loads > f.Loads {
 		return "more loads than the weight store allows"
 	}
-	for _, e := range after(f.Engines, plan) {
+	for _, e := range applyPlan(f.Engines, plan) {
 		if len(e.Models) > f.ModelsPerEngine {
 			return "more models than an engine has room for"
 		}
@@ -79,7 +79,7 @@
 	return ""
 }
 
-func lastReadyTaken(f Facts, state []Engine) string {
+func lastReadyTaken(f PlanInput, state []Engine) string {
 	for _, w := range f.Wants {
 		if countReady(f.Engines, w.ModelVersion) > 0 && countReady(state, w.ModelVersion) == 0 {
 			return fmt.Sprint("last ready engine taken from ", w.ModelVersion)
@@ -88,15 +88,16 @@
 	return ""
 }
 
-// settle carries plans out until none is due, and returns the rounds.
-func settle(f Facts) (Facts, int) {
+// converge carries out plans until there is nothing to do, and returns the number of
+// rounds, or -1 if it does not converge within 200.
+func converge(f PlanInput) (PlanInput, int) {
 	f.Loads = 100
 	for round := range 200 {
-		plan := Make(f)
+		plan := MakePlan(f)
 		if len(plan.Steps) == 0 && allReady(f) {
 			return f, round
 		}
-		f.Engines = after(f.Engines, plan)
+		f.Engines = applyPlan(f.Engines, plan)
 		for i := range f.Engines {
 			for j := range f.Engines[i].Models {
 				f.Engines[i].Models[j].Ready = true
@@ -106,9 +107,9 @@
 	return f, -1
 }
 
-func allReady(f Facts) bool {
+func allReady(f PlanInput) bool {
 	for _, e := range f.Engines {
-		if e.changing() {
+		if e.loading() {
 			return false
 		}
 	}
@@ -122,31 +123,31 @@
 	seeds := gen.UInt64()
 
 	properties.Property("keeps the rules after every step", prop.ForAll(func(seed uint64) string {
-		f := randomFacts(seed)
-		return brokenBy(f, Make(f))
+		f := randomInput(seed)
+		return violationOf(f, MakePlan(f))
 	}, seeds))
 
-	properties.Property("does not depend on the order of the facts", prop.ForAll(func(seed uint64) bool {
-		f, g := randomFacts(seed), randomFacts(seed)
+	properties.Property("does not depend on the order of the input", prop.ForAll(func(seed uint64) bool {
+		f, g := randomInput(seed), randomInput(seed)
 		rand.New(rand.NewPCG(seed, 6)).Shuffle(len(g.Engines), func(i, j int) {
 			g.Engines[i], g.Engines[j] = g.Engines[j], g.Engines[i]
 		})
-		return reflect.DeepEqual(Make(f), Make(g))
+		return reflect.DeepEqual(MakePlan(f), MakePlan(g))
 	}, seeds))
 
-	properties.Property("comes to an end, with the minimum of each that has room", prop.ForAll(func(seed uint64) string {
-		f, rounds := settle(randomFacts(seed))
+	properties.Property("converges, with the minimum of each version that has room", prop.ForAll(func(seed uint64) string {
+		f, rounds := converge(randomInput(seed))
 		if rounds < 0 {
 			return "orders without end"
 		}
-		return shortOf(f)
+		return unmetMinimum(f)
 	}, seeds))
 	properties.TestingRun(t)
 }
 
-// shortOf names a want below its minimum although the engines have room for
-// the minimum of all.
-func shortOf(f Facts) string {
+// unmetMinimum describes a want below its minimum although the engines have room
+// for the minimums of all wants, or returns "" if there is none.
+func unmetMinimum(f PlanInput) string {
 	room, usable := 0, 0
 	for _, e := range f.Engines {
 		if e.Usable {
@@ -154,7 +155,7 @@
 			room += f.ModelsPerEngine
 		}
 	}
-	needed := len(f.Kept) * usable
+	needed := len(f.Retained) * usable
 	for _, w := range f.Wants {
 		needed += w.Min
 		if w.Min > usable {
--- a/internal/control/orders/plans.go
+++ b/internal/control/orders/plans.go
@@ -14,8 +14,8 @@
 	"lynxhill.example/lynxhill/internal/wire/lynxapi"
 )
 
-// readPlan takes the service's plan from the board's copy of the platform's
-// objects. One that can't be read leaves the plan known in force.
+// readPlan updates the service's plan from the board's copy of the platform's
+// objects. If the object cannot be decoded, the previous plan stays in force.
 func (c *Controller) readPlan(s *service) {
 	object, found := c.opts.Board.Objects.Get(KeyPrefix + s.name)
 	if !found || object.Deleted {
@@ -73,7 +73,7 @@
 		c.opts.Board.AdoptObject(object.Key, board.ConfigObject{Version: object.Version, Value: value})
 		return object.Version, nil
 	case errors.Is(err, store.ErrConflict):
-		return object.Version, errkind.Wrap(err, errkind.Conflict, "the plan was changed meanwhile; its version is %d", object.Version)
+		return object.Version, errkind.Wrap(err, errkind.Conflict, "the plan was changed concurrently; its current version is %d", object.Version)
 	case errors.Is(err, store.ErrUnavailable), errors.Is(err, store.ErrThrottled):
 		return 0, errkind.Wrap(err, errkind.StoreUnavailable, "model plan")
 	default:
@@ -92,9 +92,9 @@
 		case w.Model == "" || w.Version == "":
 			return errkind.New(errkind.BadRequest, "a model of the plan lacks its name or version")
 		case seen[v]:
-			return errkind.New(errkind.BadRequest, "model %s %s stands twice", w.Model, w.Version)
+			return errkind.New(errkind.BadRequest, "model %s %s is listed more than once", w.Model, w.Version)
 		case w.Min < 0 || w.Max < 0 || w.Max > 0 && w.Min > w.Max:
-			return errkind.New(errkind.BadRequest, "model %s %s: min %d and max %d do not fit", w.Model, w.Version, w.Min, w.Max)
+			return errkind.New(errkind.BadRequest, "model %s %s: min %d and max %d are not a valid range", w.Model, w.Version, w.Min, w.Max)
 		}
 		seen[v] = true
 	}
--- a/internal/control/orders/random_test.go
+++ b/internal/control/orders/random_test.go
@@ -62,29 +62,29 @@
 	return report, err
 }
 
-// giver is an instance with its lease manager and orders controller.
-type giver struct {
+// instance is a simulated instance with its lease manager and orders controller.
+type instance struct {
 	board *board.Board
 	lease *lease.Manager
 	pause *virtualtest.Pause
 }
 
-// trial is one random run.
+// trial is one randomised run.
 type trial struct {
-	engines   *fakeEngines
-	store     *memstore.Store
-	givers    []*giver
-	broken    *invariant.Collector
-	rng       *rand.Rand
-	inForceAt map[string]time.Time // when each version came into force on all boards
-	wasReady  map[string]bool
-	running   sync.WaitGroup
-	stop      context.CancelFunc
+	engines    *fakeEngines
+	store      *memstore.Store
+	instances  []*instance
+	violations *invariant.Collector
+	rng        *rand.Rand
+	inForceAt  map[string]time.Time // when each version came into force on all boards
+	wasReady   map[string]bool
+	running    sync.WaitGroup
+	stop       context.CancelFunc
 }
 
 func newTrial(seed uint64, instances int) *trial {
 	x := &trial{
-		engines: newEngines(6, true), store: memstore.New(memstore.Options{Seed: seed}), broken: &invariant.Collector{},
+		engines: newEngines(6, true), store: memstore.New(memstore.Options{Seed: seed}), violations: &invariant.Collector{},
 		rng: rand.New(rand.NewPCG(seed, 17)), wasReady: make(map[string]bool), inForceAt: make(map[string]time.Time),
 	}
 	for i := range 3 {
@@ -95,13 +95,13 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	x.stop = cancel
 	for i := range instances {
-		x.givers = append(x.givers, x.startGiver(ctx, i, instances))
+		x.instances = append(x.instances, x.startInstance(ctx, i, instances))
 	}
 	return x
 }
 
-func (x *trial) startGiver(ctx context.Context, i, instances int) *giver {
-	g := &giver{board: boardWith(x.engines), pause: &virtualtest.Pause{}}
+func (x *trial) startInstance(ctx context.Context, i, instances int) *instance {
+	g := &instance{board: boardWith(x.engines), pause: &virtualtest.Pause{}}
 	for j := range instances {
 		id := fmt.Sprintf("i-%02d", j)
 		g.board.Members.Put(id, board.Member{ID: id, State: board.MemberAlive})
@@ -115,8 +115,8 @@
 	})
 	c := New(Options{
 		Caller: pausedCaller{x.engines, g.pause}, Store: reached, Board: g.board, Lease: g.lease, Boot: boot,
-		Clock: quartz.NewReal(), Self: self, WeightRate: 1, Checker: invariant.New(x.broken),
-		Rand: rand.New(rand.NewPCG(x.rng.Uint64(), 2)), ReadEvery: 3 * time.Second, KeepAfter: 20 * time.Second,
+		Clock: quartz.NewReal(), Self: self, WeightRate: 1, Checker: invariant.New(x.violations),
+		Rand: rand.New(rand.NewPCG(x.rng.Uint64(), 2)), ReadInterval: 3 * time.Second, UnloadDelay: 20 * time.Second,
 	})
 	x.running.Go(func() { g.lease.Run(ctx) })
 	x.running.Go(func() { c.Run(ctx) })
@@ -129,7 +129,7 @@
 	for _, v := range versions {
 		providers = append(providers, provider(v, ""))
 	}
-	for _, g := range x.givers {
+	for _, g := range x.instances {
 		g.board.Profiles.Put("report", profileOf("report", providers...))
 	}
 	for v := range x.inForceAt {
@@ -145,19 +145,19 @@
 	}
 }
 
-// settled is how long a version has to be in force until orders that were
-// under way before have run out.
-const settled = 10 * time.Second
+// settleTime is how long a version must be in force until orders that were in
+// transit before have expired.
+const settleTime = 10 * time.Second
 
-// lastReady reports a version in force that was ready and no longer is.
-func (x *trial) lastReady(t *testing.T) {
+// checkLastReady fails the test if a version in force was ready and no longer is.
+func (x *trial) checkLastReady(t *testing.T) {
 	for v, at := range x.inForceAt {
-		if time.Since(at) < settled {
+		if time.Since(at) < settleTime {
 			continue
 		}
 		ready := x.engines.ready(ModelVersion{"lynx", v}) > 0
 		if x.wasReady[v] && !ready {
-			t.Errorf("version %s is in force and ready nowhere any more", v)
+			t.Errorf("version %s is in force and no longer ready on any engine", v)
 		}
 		x.wasReady[v] = ready
 	}
@@ -182,8 +182,8 @@
 }
 
 func (x *trial) pauseHolder() {
-	chosen := x.givers[x.rng.IntN(len(x.givers))]
-	for _, g := range x.givers {
+	chosen := x.instances[x.rng.IntN(len(x.instances))]
+	for _, g := range x.instances {
 		if g.lease.Holds(pool) {
 			chosen = g
 		}
@@ -191,29 +191,30 @@
 	chosen.pause.For(time.Duration(x.rng.Int64N(int64(40 * time.Second))))
 }
 
-// drainHolder makes the holder give its lease back with orders under way.
+// drainHolder makes the holder release its lease while orders are in transit.
 func (x *trial) drainHolder() {
-	for _, g := range x.givers {
+	for _, g := range x.instances {
 		g.board.Self.Put(board.SelfRow, board.Self{Draining: g.lease.Holds(pool)})
 	}
 }
 
-// overlaps counts the orders to engines that ignore fences which were sent
-// while an order of another giver was under way, or arrived after one that was
-// sent later.
-func overlaps(all []done) int {
-	var unchecked []done
+// overlaps returns the number of orders to engines that ignore fencing tokens which
+// were sent while an earlier order of another sender was in transit. This includes
+// all cases in which an order arrives after one of another sender that was sent
+// later.
+func overlaps(all []executedOrder) int {
+	var unchecked []executedOrder
 	for _, d := range all {
 		if !d.checksFence {
 			unchecked = append(unchecked, d)
 		}
 	}
-	slices.SortFunc(unchecked, func(a, b done) int { return a.sent.Compare(b.sent) })
+	slices.SortFunc(unchecked, func(a, b executedOrder) int { return a.sent.Compare(b.sent) })
 	n := 0
-	arrived := make(map[string]time.Time) // latest arrival by giver
+	arrived := make(map[string]time.Time) // latest arrival by sender
 	for _, d := range unchecked {
-		for giver, at := range arrived {
-			if giver != d.order.Giver && at.After(d.sent) {
+		for sender, at := range arrived {
+			if sender != d.order.Giver && at.After(d.sent) {
 				n++
 			}
 		}
@@ -224,73 +225,74 @@
 	return n
 }
 
-// fencesFall counts the orders that an engine that checks fences took after
-// one with a higher fence, and fences used by two givers.
-func fencesFall(all []done) int {
+// staleFences returns the number of orders that an engine which checks fencing
+// tokens accepted after one with a higher token, plus the number of orders whose
+// token was used before by another sender.
+func staleFences(all []executedOrder) int {
 	n := 0
 	highest := make(map[string]uint64)
-	givers := make(map[uint64]string)
+	senders := make(map[uint64]string)
 	for _, d := range all {
 		if d.checksFence && d.order.Fence < highest[d.engine] {
 			n++
 		}
 		highest[d.engine] = max(highest[d.engine], d.order.Fence)
-		if giver, used := givers[d.order.Fence]; used && giver != d.order.Giver {
+		if sender, used := senders[d.order.Fence]; used && sender != d.order.Giver {
 			n++
 		}
-		givers[d.order.Fence] = d.order.Giver
+		senders[d.order.Fence] = d.order.Giver
 	}
 	return n
 }
 
-// Symptom: engines hold the wrong models, or a model is ready nowhere.
-// Events: the order-giver is paused for longer than its lease and wakes in the
-// middle of giving orders; the store goes away and loses replies; orders are
-// under way for seconds and arrive after the giver stopped waiting; profiles
-// change meanwhile. Cause: orders of two givers reached engines in turn.
+// Guards against engines with the wrong models, or a model that is ready on no
+// engine, because orders of two senders reach engines alternately. The lease holder
+// is paused for longer than its lease and resumes while sending orders, the store
+// has outages and loses replies, orders are in transit for seconds and arrive after
+// the sender stopped waiting, and profiles change in the meantime.
 func TestOneOrderGiverUnderRandomFaults(t *testing.T) {
-	orders, givers := 0, 0
+	orders, senders := 0, 0
 	for seed := range uint64(10) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				x := newTrial(seed, 3+int(seed)*5)
-				n, g := x.run(t)
-				orders, givers = orders+n, givers+g
+				n, s := x.run(t)
+				orders, senders = orders+n, senders+s
 			})
 		})
 	}
-	if orders < 400 || givers < 25 {
-		t.Errorf("only %d orders of %d givers in all: the runs show little", orders, givers)
+	if orders < 400 || senders < 25 {
+		t.Errorf("only %d orders of %d senders in total: too few for the test to be meaningful", orders, senders)
 	}
 }
 
-func (x *trial) run(t *testing.T) (orders, givers int) {
+func (x *trial) run(t *testing.T) (orders, senders int) {
 	x.inForce("v0", "v1")
 	for range 2400 { // ten minutes
 		time.Sleep(250 * time.Millisecond)
-		x.lastReady(t)
+		x.checkLastReady(t)
 		x.disturb()
 	}
 	x.store.SetFaults(memstore.Faults{})
 	x.inForce("v9")
-	for _, g := range x.givers {
+	for _, g := range x.instances {
 		g.board.Self.Delete(board.SelfRow)
 	}
 	time.Sleep(4 * time.Minute)
 	if n := x.engines.ready(ModelVersion{"lynx", "v9"}); n < DefaultMinReady {
-		t.Errorf("four minutes after the last fault %d engines have the version in force", n)
+		t.Errorf("four minutes after the last fault only %d engines have the version in force ready", n)
 	}
 	x.stop()
 	x.running.Wait()
-	all := x.engines.done()
+	all := x.engines.executed()
 	if n := overlaps(all); n > 0 {
-		t.Errorf("%d orders to engines that ignore fences overlap with another giver's", n)
+		t.Errorf("%d orders to engines that ignore fencing tokens overlap with another sender's", n)
 	}
-	if n := fencesFall(all); n > 0 {
-		t.Errorf("%d orders with an older fence were taken, or one fence by two givers", n)
+	if n := staleFences(all); n > 0 {
+		t.Errorf("%d orders with an older fencing token were accepted or had a token used by two senders", n)
 	}
-	if broken := x.broken.Violations(); len(broken) > 0 {
-		t.Errorf("%d broken invariants, first: %v", len(broken), broken[0])
+	if broken := x.violations.Violations(); len(broken) > 0 {
+		t.Errorf("%d violated invariants, first: %v", len(broken), broken[0])
 	}
 	seen := make(map[string]bool)
 	for _, d := range all {
--- a/internal/control/orders/scaling.go
+++ b/internal/control/orders/scaling.go
@@ -7,15 +7,15 @@
 	"lynxhill.example/lynxhill/internal/defaults"
 )
 
-// Scaling says how the number of engines of a model version follows demand.
-// The distance between High and Low and the waiting times keep a load that
-// swings from moving weights to and fro.
+// Scaling configures how the number of engines of a model version follows demand.
+// The hysteresis between High and Low and the delays prevent an oscillating load
+// from causing repeated loads and unloads of weights.
 type Scaling struct {
-	High   float64 // above this utilisation of its engines a version gets more
-	Low    float64 // below this one it gets fewer
-	Target float64 // the utilisation aimed at when it gets more
-	// UpAfter and DownAfter are how long the utilisation has to stay beyond
-	// the mark.
+	High   float64 // utilisation of a version's engines above which it gets more engines
+	Low    float64 // utilisation below which it gets fewer
+	Target float64 // utilisation to reach when scaling up
+	// UpAfter and DownAfter are how long the utilisation must stay above High or
+	// below Low before the number changes.
 	UpAfter   time.Duration
 	DownAfter time.Duration
 }
@@ -29,26 +29,26 @@
 	return s
 }
 
-// scaler remembers since when the utilisation of each version has been beyond
-// a mark. A new order-giver starts with the engines that there are.
+// scaler tracks since when the utilisation of each version has been above High or
+// below Low. A new lease holder starts with the current number of ready engines.
 type scaler struct {
-	opts  Scaling
-	marks map[ModelVersion]scale
+	opts   Scaling
+	states map[ModelVersion]scaleState
 }
 
-type scale struct {
+type scaleState struct {
 	count     int
 	highSince time.Time
 	lowSince  time.Time
 }
 
 func newScaler(opts Scaling) *scaler {
-	return &scaler{opts: opts, marks: make(map[ModelVersion]scale)}
+	return &scaler{opts: opts, states: make(map[ModelVersion]scaleState)}
 }
 
-// count returns the number of engines for the version, from lowest to highest.
+// count returns the number of engines for the version, between lowest and highest.
 func (s *scaler) count(now time.Time, v ModelVersion, engines []Engine, lowest, highest int) int {
-	m, known := s.marks[v]
+	m, known := s.states[v]
 	ready, used := utilisation(engines, v)
 	if !known {
 		m.count = ready
@@ -65,12 +65,13 @@
 		m.lowSince = now
 	}
 	m.count = max(lowest, min(m.count, highest))
-	s.marks[v] = m
+	s.states[v] = m
 	return m.count
 }
 
-// utilisation returns the ready engines of the version and their mean load. An
-// engine's work is not told apart by model, so that it counts for all of them.
+// utilisation returns the number of ready engines of the version and their mean
+// load. Engines do not report work per model, so an engine's work counts for each
+// of its models.
 func utilisation(engines []Engine, v ModelVersion) (ready int, used float64) {
 	work, slots := 0, 0
 	for _, e := range engines {
@@ -86,26 +87,26 @@
 	return ready, float64(work) / float64(slots)
 }
 
-func since(began, now time.Time, holds bool) time.Time {
+func since(start, now time.Time, holds bool) time.Time {
 	switch {
 	case !holds:
 		return time.Time{}
-	case began.IsZero():
+	case start.IsZero():
 		return now
 	default:
-		return began
+		return start
 	}
 }
 
-func held(began, now time.Time, long time.Duration) bool {
-	return !began.IsZero() && now.Sub(began) >= long
+func held(start, now time.Time, long time.Duration) bool {
+	return !start.IsZero() && now.Sub(start) >= long
 }
 
-// retain drops versions that are no longer in force.
+// retain drops the state of versions that are no longer in force.
 func (s *scaler) retain(inForce map[ModelVersion]bool) {
-	for v := range s.marks {
+	for v := range s.states {
 		if !inForce[v] {
-			delete(s.marks, v)
+			delete(s.states, v)
 		}
 	}
 }
--- a/internal/control/orders/give.go
+++ b/internal/control/orders/send.go
@@ -13,37 +13,40 @@
 	"lynxhill.example/lynxhill/internal/wire/targetapi"
 )
 
-// Results of orders in the metric.
+// Results of orders in metricOrders.
 const (
 	resultTaken    = "taken"
 	resultFailed   = "failed"
 	resultOldFence = "old_fence"
 )
 
-// give gives one order if the lease still covers it.
-func (c *Controller) give(ctx context.Context, s *service, facts Facts, step Step) {
+// execute sends the order of one step, unless the engine is gone or backing off,
+// the order is an unload without confirmation from another engine, or the rate
+// limit of the weight store or the lease does not allow it.
+func (c *Controller) execute(ctx context.Context, s *service, input PlanInput, step Step) {
 	t, there := c.opts.Board.Targets.Get(step.Engine)
 	if !there || t.Leaving || ctx.Err() != nil || c.opts.Clock.Now().Before(s.engines[step.Engine].retryAt) {
 		return
 	}
-	if step.Order.Kind == targetapi.OrderUnload && !c.confirmed(ctx, s, facts, step) {
+	if step.Order.Kind == targetapi.OrderUnload && !c.confirmed(ctx, s, input, step) {
 		c.opts.Metrics.Counter(metricHeldBack).Add(1)
 		c.log(event.OrderHeldBack, s, step, nil)
 		return
 	}
-	if takesWeights(step.Order.Kind) && !s.loads.AllowN(c.opts.Clock.Now(), 1) {
+	if loadsWeights(step.Order.Kind) && !s.loads.AllowN(c.opts.Clock.Now(), 1) {
 		return
 	}
 	c.send(ctx, s, t, step)
 }
 
-func takesWeights(kind string) bool {
+func loadsWeights(kind string) bool {
 	return kind == targetapi.OrderLoad || kind == targetapi.OrderLoadAdapter
 }
 
-// send checks the lease and sends the order. Nothing that can take time stands
-// between the check and the call; the call's context ends by the boot clock, so
-// that an order that was held up by a suspended machine is not sent later.
+// send checks the lease and sends the order. Nothing that can take time happens
+// between the check and the call. The call's deadline is measured by the boot
+// clock, so that an order delayed by a suspension of the process or host is not
+// sent afterwards.
 func (c *Controller) send(ctx context.Context, s *service, t board.Target, step Step) {
 	timeout := c.opts.Lease.OrderTimeout()
 	callCtx, cancel := loop.WithTimeout(ctx, c.opts.Clock, timeout)
@@ -51,7 +54,7 @@
 	order := step.Order
 	order.Giver = c.opts.Self
 	state := s.engines[t.ID]
-	grant, ok := c.opts.Lease.Check(s.name, timeout, t.ChecksFence && !needsQuiet(order.Kind))
+	grant, ok := c.opts.Lease.Check(s.name, timeout, t.ChecksFence && !waitsForOldOrders(order.Kind))
 	if !ok {
 		c.opts.Metrics.Counter(metricNoLease).Add(1)
 		return
@@ -62,29 +65,30 @@
 		"order to %s of %s with fence %d after the lease's end", t.ID, s.name, grant.Fence)
 	callCtx = loop.WithBootDeadline(callCtx, c.opts.Boot, now+timeout)
 	err := c.opts.Caller.Order(callCtx, stagecall.Target{ID: t.ID, Address: t.Address}, order)
-	state.dirty = true // also after a failure: it may have been carried out
+	state.dirty = true // also after a failure, since the order may have been carried out
 	step.Order = order
-	s.noteUnload(step)
+	s.recordUnload(step)
 	c.record(s, step, err)
 }
 
-// needsQuiet reports whether an order has to wait until the orders of the
-// order-giver before have run out, also for an engine that checks fences. Two
-// unloads of one model version, each given because the other engine still had
-// it, would take it away everywhere; and an engine learns of the new fence only
-// by the first order that it gets.
-func needsQuiet(kind string) bool { return kind == targetapi.OrderUnload }
+// waitsForOldOrders reports whether an order must wait until the orders of the
+// previous lease holder have expired, even for an engine that checks fencing
+// tokens. Two unloads of one model version, each sent because the other engine
+// still had it, would remove it everywhere, and an engine learns of the new
+// fencing token only by the first order with it.
+func waitsForOldOrders(kind string) bool { return kind == targetapi.OrderUnload }
 
-// Waits after orders that were not taken.
+// Bounds of the backoff after failed orders.
 const (
-	firstBackoff = 2 * time.Second
-	lastBackoff  = time.Minute
+	initialBackoff = 2 * time.Second
+	maxBackoff     = time.Minute
 )
 
-// backoff is the wait after the order that follows so many failed ones. Without
-// it an engine that takes no orders would get one a second for good.
+// backoff returns the delay after a failed order that follows the given number of
+// consecutive failures. Without it, an engine that rejects all orders would be sent
+// one per second indefinitely.
 func backoff(failures int) time.Duration {
-	return min(lastBackoff, firstBackoff<<min(failures, maxDoublings))
+	return min(maxBackoff, initialBackoff<<min(failures, maxDoublings))
 }
 
 const maxDoublings = 5
@@ -107,32 +111,33 @@
 	c.log(id, s, step, err)
 }
 
-// confirmed asks another engine whether it has the model version ready before
-// an unload of it.
+// confirmed reports whether the unload of a model version may be sent. If the
+// version is in force and ready on the engine, it reads the state of other engines
+// until one confirms that it has the version ready.
 //
-// The plan rests on states that are some seconds old. If the other engine died
-// or dropped the model meanwhile, the unload would take the last ready one
-// away: requests for the model would find no target until a load is done.
-func (c *Controller) confirmed(ctx context.Context, s *service, facts Facts, step Step) bool {
+// The plan is based on states that are some seconds old. If the other engine died
+// or unloaded the model in the meantime, the unload would remove the last ready
+// one: requests for the model would find no target until a load has finished.
+func (c *Controller) confirmed(ctx context.Context, s *service, input PlanInput, step Step) bool {
 	v := ModelVersion{Model: step.Order.Model, Version: step.Order.Version}
-	// Orders before this one may have taken long: what is in force now counts.
+	// Earlier orders may have taken long, so the versions in force are read again.
 	_, wanted := inForce(s.name, c.opts.Board.Profiles.Snapshot(), s.plan, c.opts.MinReady)[v]
 	if !wanted {
-		return true // nobody needs it
+		return true // it is no longer in force
 	}
 	own, _ := s.engines[step.Engine].model(v)
 	if !own.Ready {
-		return true // it is not ready here: nothing is taken away
+		return true // the engine is not ready for it, so no ready engine is lost
 	}
-	for _, e := range facts.Engines {
-		if e.ID != step.Engine && e.readyOn(v) && c.stillReady(ctx, s, e.ID, v) {
+	for _, e := range input.Engines {
+		if e.ID != step.Engine && e.readyOn(v) && c.confirmReady(ctx, s, e.ID, v) {
 			return true
 		}
 	}
 	return false
 }
 
-func (c *Controller) stillReady(ctx context.Context, s *service, id string, v ModelVersion) bool {
+func (c *Controller) confirmReady(ctx context.Context, s *service, id string, v ModelVersion) bool {
 	t, there := c.opts.Board.Targets.Get(id)
 	if !there || t.Leaving {
 		return false
--- a/internal/control/orders/unload.go
+++ b/internal/control/orders/unload.go
@@ -14,27 +14,28 @@
 	})
 }
 
-// spared reports whether the model version may go from the engine without
-// leaving fewer than keep engines that are ready for it. One that is not ready
-// there serves nobody.
-func (p *planner) spared(e Engine, v ModelVersion, keep int) bool {
+// removable reports whether the model version can be unloaded from the engine with
+// at least keep ready engines left; if the engine is ready for it, at least one
+// must be left. An engine that is not ready for the version serves no requests for
+// it and does not count.
+func (p *planner) removable(e Engine, v ModelVersion, keep int) bool {
 	if !e.readyOn(v) {
 		return countReady(p.engines, v) >= keep
 	}
 	return countReady(p.engines, v)-1 >= max(1, keep)
 }
 
-// evictable finds an engine and a model version on it that gives way to the
-// want: one with more engines than it needs; or, if the want has fewer than
-// its minimum, one with more than its own minimum.
+// evictable finds an engine and a model version on it that can be unloaded to free
+// room for the want: a version with more engines than it needs or, if the want has
+// fewer engines than its minimum, a version with more than its own minimum.
 func (p *planner) evictable(w Want) (int, ModelVersion, bool) {
 	urgent := p.holders(w.ModelVersion) < w.Min
 	for i, e := range p.engines {
-		if _, has := e.model(w.ModelVersion); has || !e.ordered() {
+		if _, has := e.model(w.ModelVersion); has || !e.acceptsOrders() {
 			continue
 		}
 		for _, m := range e.Models {
-			if v := versionOf(m); p.givesWay(e, v, urgent) {
+			if v := versionOf(m); p.canEvict(e, v, urgent) {
 				return i, v, true
 			}
 		}
@@ -42,30 +43,30 @@
 	return 0, ModelVersion{}, false
 }
 
-func (p *planner) givesWay(e Engine, v ModelVersion, urgent bool) bool {
+func (p *planner) canEvict(e Engine, v ModelVersion, urgent bool) bool {
 	other, wanted := p.wants[v]
 	if !wanted {
-		if p.kept[v] {
-			return urgent && p.spared(e, v, 1)
+		if p.retained[v] {
+			return urgent && p.removable(e, v, 1)
 		}
 		return urgent || p.unwanted(v)
 	}
-	if e.changing() {
-		return false // one load at a time: it would be cut or its model lost
+	if e.loading() {
+		return false // an unload would abort the load in progress or lose its model
 	}
 	keep := other.Count
 	if urgent {
 		keep = other.Min
 	}
-	return p.spared(e, v, keep)
+	return p.removable(e, v, keep)
 }
 
 // unwanted reports whether the model version may be unloaded everywhere: no
-// profile or plan names it, none did lately, and every version in force of the
-// model is ready somewhere. Until then the old version is what a rollback
-// would fall back to.
+// profile or plan names it or did recently, and every version in force of the
+// model is ready on some engine. Until then, the old version is kept for a
+// rollback.
 func (p *planner) unwanted(v ModelVersion) bool {
-	if _, wanted := p.wants[v]; wanted || p.kept[v] {
+	if _, wanted := p.wants[v]; wanted || p.retained[v] {
 		return false
 	}
 	for other := range p.wants {
@@ -76,10 +77,10 @@
 	return true
 }
 
-// unloadUnwanted frees the room of versions that are out of force.
+// unloadUnwanted unloads the versions that are no longer in force.
 func (p *planner) unloadUnwanted() {
 	for i, e := range p.engines {
-		if !e.ordered() {
+		if !e.acceptsOrders() {
 			continue
 		}
 		for _, m := range slices.Clone(e.Models) {
@@ -90,16 +91,16 @@
 	}
 }
 
-// unloadSurplus takes one engine from each want that has more than it needs,
-// the one with the least work.
+// unloadSurplus unloads each want that has more engines than it needs from one
+// engine, the one with the lowest load.
 func (p *planner) unloadSurplus() {
-	for _, w := range p.ordered() {
+	for _, w := range p.wantsByShortage() {
 		if p.holders(w.ModelVersion) <= w.Count {
 			continue
 		}
 		i, found := p.best(func(_ int, e Engine) bool {
 			_, has := e.model(w.ModelVersion)
-			return has && p.spared(e, w.ModelVersion, max(w.Min, w.Count))
+			return has && p.removable(e, w.ModelVersion, max(w.Min, w.Count))
 		}, func(a, b Engine) bool { return a.load() < b.load() })
 		if found {
 			p.unload(i, w.ModelVersion)
--- a/internal/control/orders/wants.go
+++ b/internal/control/orders/wants.go
@@ -10,17 +10,18 @@
 	"lynxhill.example/lynxhill/internal/wire/lynxapi"
 )
 
-// named is a model version that a profile or plan names, with its adapters.
-type named struct {
+// requirement holds the adapters and the bounds on the number of engines of a model
+// version that a profile or plan names.
+type requirement struct {
 	adapters []string
 	min, max int
 }
 
-// inForce collects the model versions of a service that profiles in force and
-// the plan name. Providers of weight 0 count: operators name a version before
-// they shift work to it.
-func inForce(service string, profiles map[string]profile.Versioned, plan lynxapi.ModelPlan, minReady int) map[ModelVersion]named {
-	all := make(map[ModelVersion]named)
+// inForce returns the model versions of a service that the profiles in force and
+// the plan name. Providers with weight 0 count, since operators name a version
+// before they shift traffic to it.
+func inForce(service string, profiles map[string]profile.Versioned, plan lynxapi.ModelPlan, minReady int) map[ModelVersion]requirement {
+	all := make(map[ModelVersion]requirement)
 	for _, p := range profiles {
 		if p.Deleted {
 			continue
@@ -41,7 +42,7 @@
 	return all
 }
 
-func addStage(all map[ModelVersion]named, service string, stage profile.Stage, minReady int) {
+func addStage(all map[ModelVersion]requirement, service string, stage profile.Stage, minReady int) {
 	for _, provider := range stage.Providers {
 		if provider.Service != service || provider.Model == "" {
 			continue
@@ -65,41 +66,41 @@
 	return adapters
 }
 
-// memory is what a service's order-giver remembers from plan to plan. All of it
-// only delays changes, so that a new order-giver may start with none.
+// memory is the state that the lease holder of a service keeps between plans. It
+// only delays changes, so that a new lease holder can start without it.
 type memory struct {
 	scaler *scaler
-	// named is when each model version was last in force, and its adapters.
-	named map[ModelVersion]remembered
+	// lastInForce is when each model version and its adapters were last in force.
+	lastInForce map[ModelVersion]lastUse
 }
 
-type remembered struct {
+type lastUse struct {
 	at       time.Time
 	adapters map[string]time.Time
 }
 
 func newMemory(scaling Scaling) *memory {
-	return &memory{scaler: newScaler(scaling), named: make(map[ModelVersion]remembered)}
+	return &memory{scaler: newScaler(scaling), lastInForce: make(map[ModelVersion]lastUse)}
 }
 
-// facts assembles the planner's facts.
-func (m *memory) facts(o Options, now time.Time, engines []Engine, all map[ModelVersion]named) Facts {
-	f := Facts{Engines: engines, ModelsPerEngine: o.ModelsPerEngine}
+// input assembles the planner's input.
+func (m *memory) input(o Options, now time.Time, engines []Engine, all map[ModelVersion]requirement) PlanInput {
+	f := PlanInput{Engines: engines, ModelsPerEngine: o.ModelsPerEngine}
 	usable := countUsable(engines)
-	f.MaxChanging = max(1, int(o.ChangingShare*float64(usable)))
-	m.note(now, engines, all)
+	f.MaxLoading = max(1, int(o.MaxLoadingShare*float64(usable)))
+	m.observe(now, engines, all)
 	force := make(map[ModelVersion]bool)
 	for v, n := range all {
 		force[v] = true
 		lowest, highest := bounds(n, usable)
 		f.Wants = append(f.Wants, Want{
-			ModelVersion: v, Adapters: m.adapters(v, n, now, o.KeepAfter), Min: lowest,
+			ModelVersion: v, Adapters: m.adapters(v, n, now, o.UnloadDelay), Min: lowest,
 			Count: m.scaler.count(now, v, engines, lowest, highest),
 		})
 	}
-	for v, r := range m.named {
-		if !force[v] && now.Sub(r.at) < o.KeepAfter {
-			f.Kept = append(f.Kept, v)
+	for v, r := range m.lastInForce {
+		if !force[v] && now.Sub(r.at) < o.UnloadDelay {
+			f.Retained = append(f.Retained, v)
 		}
 	}
 	m.scaler.retain(force)
@@ -107,8 +108,9 @@
 	return f
 }
 
-// bounds are the fewest and most engines of a version, within those that are.
-func bounds(n named, usable int) (int, int) {
+// bounds returns the minimum and maximum number of engines of a version, limited by
+// the number of usable engines; both are at least 1.
+func bounds(n requirement, usable int) (int, int) {
 	highest := usable
 	if n.max > 0 {
 		highest = min(usable, n.max)
@@ -126,43 +128,43 @@
 	return n
 }
 
-// note remembers what is in force now. What engines have that was never seen
-// in force counts as in force until now: after a change of the order-giver
-// nobody knows how long ago a profile named it.
-func (m *memory) note(now time.Time, engines []Engine, all map[ModelVersion]named) {
+// observe records what is in force now. A version or adapter that an engine has and
+// that was never observed in force counts as in force until now: after a change of
+// the lease holder it is unknown how long ago a profile named it.
+func (m *memory) observe(now time.Time, engines []Engine, all map[ModelVersion]requirement) {
 	for v, n := range all {
-		r := m.remember(v, now)
+		r := m.lookup(v, now)
 		r.at = now
 		for _, adapter := range n.adapters {
 			r.adapters[adapter] = now
 		}
-		m.named[v] = r
+		m.lastInForce[v] = r
 	}
 	for _, e := range engines {
 		for _, model := range e.Models {
-			r := m.remember(versionOf(model), now)
+			r := m.lookup(versionOf(model), now)
 			for _, adapter := range model.Adapters {
 				if _, known := r.adapters[adapter]; !known {
 					r.adapters[adapter] = now
 				}
 			}
-			m.named[versionOf(model)] = r
+			m.lastInForce[versionOf(model)] = r
 		}
 	}
 }
 
-func (m *memory) remember(v ModelVersion, now time.Time) remembered {
-	if r, known := m.named[v]; known {
+func (m *memory) lookup(v ModelVersion, now time.Time) lastUse {
+	if r, known := m.lastInForce[v]; known {
 		return r
 	}
-	return remembered{at: now, adapters: make(map[string]time.Time)}
+	return lastUse{at: now, adapters: make(map[string]time.Time)}
 }
 
-// adapters returns those in force and those that were until lately and are
-// loaded somewhere.
-func (m *memory) adapters(v ModelVersion, n named, now time.Time, keep time.Duration) []string {
+// adapters returns the adapters in force and those that were in force, or first
+// seen loaded on an engine, less than keep ago.
+func (m *memory) adapters(v ModelVersion, n requirement, now time.Time, keep time.Duration) []string {
 	adapters := slices.Clone(n.adapters)
-	for adapter, at := range m.named[v].adapters {
+	for adapter, at := range m.lastInForce[v].adapters {
 		if now.Sub(at) < keep {
 			adapters = withAdapter(adapters, adapter)
 		}
