--- a/internal/errkind/errkind.go
+++ b/internal/errkind/errkind.go
@@ -1,6 +1,6 @@
-// Package errkind is the closed list of error kinds and the table from each
-// kind to the answer that a caller or an operator gets. docs/ERRORS.md shows
-// the same table; a test holds the two together.
+// Package errkind defines the closed list of error kinds and the table that
+// maps each kind to the response that a caller or an operator gets.
+// docs/ERRORS.md shows the same table; a test compares the two.
 package errkind
 
 import (
@@ -15,7 +15,7 @@
 // instance has one of these kinds.
 type Kind int
 
-// The kinds. Their answers are in the table below.
+// The kinds. The table below maps them to responses.
 const (
 	Internal Kind = iota
 	BadRequest
@@ -54,49 +54,49 @@
 	kindCount
 )
 
-// RunState says whether a target may have run any stage of the request.
+// RunState states whether a target may have run any stage of the request.
 type RunState string
 
-// Run states. NotRun is a promise: no byte of a call can have reached a target
-// that might act on it.
+// Run states. NotRun is a guarantee: no byte of a call can have reached a
+// target that might act on it.
 const (
 	NotRun     RunState = "not_run"
 	MayHaveRun RunState = "may_have_run"
 	Ran        RunState = "ran"
 )
 
-// Resend tells the caller whether to send the request again, and where.
+// Resend tells the caller whether to retry the request, and where.
 type Resend string
 
-// Advice on sending again. All resends carry the same idempotency key.
+// Retry advice. All retries carry the same idempotency key.
 const (
 	ResendNever     Resend = "never"     // the same request would fail again
 	ResendLater     Resend = "later"     // after RetryAfter
 	ResendElsewhere Resend = "elsewhere" // now, at another instance
-	ResendAsk       Resend = "ask"       // first ask for the outcome of the key
+	ResendAsk       Resend = "ask"       // only after querying the outcome of the key
 )
 
-// Answer is what the caller is told for a kind.
+// Answer is the response that the caller gets for a kind.
 type Answer struct {
 	Name     string
 	Status   int // HTTP status
 	RunState RunState
 	Resend   Resend
-	Event    int // number of the event that is logged, see package event
+	Event    int // number of the logged event, see package event
 	Meaning  string
 }
 
-// statusClientClosed is what several HTTP servers log when the caller closed
-// the connection; nobody receives it.
+// statusClientClosed is the status that several HTTP servers log when the
+// caller has closed the connection; it reaches no caller.
 const statusClientClosed = 499
 
-// table maps each kind to its answer.
+// table maps each kind to its response.
 var table = [kindCount]Answer{
 	Internal:            {"internal", 500, MayHaveRun, ResendAsk, 1900, "A defect in lynxhill."},
 	BadRequest:          {"bad_request", 400, NotRun, ResendNever, 1901, "The request is malformed."},
 	NoOrganisation:      {"no_organisation", 400, NotRun, ResendNever, 1902, "The request names no organisation."},
 	Unauthenticated:     {"unauthenticated", 401, NotRun, ResendNever, 1903, "The token is missing or unknown."},
-	Forbidden:           {"forbidden", 403, NotRun, ResendNever, 1904, "The token does not allow this."},
+	Forbidden:           {"forbidden", 403, NotRun, ResendNever, 1904, "The token does not permit this operation."},
 	UnknownProfile:      {"unknown_profile", 404, NotRun, ResendNever, 1905, "No profile of that name is in force."},
 	UnknownKey:          {"unknown_key", 404, MayHaveRun, ResendAsk, 1906, "This instance has no record of the idempotency key."},
 	NotFound:            {"not_found", 404, NotRun, ResendNever, 1907, "There is no such object."},
@@ -110,22 +110,22 @@
 	NoTarget:            {"no_target", 503, NotRun, ResendLater, 1915, "No target of the service is ready."},
 	TargetRefused:       {"target_refused", 503, NotRun, ResendLater, 1916, "Every target that was tried refused the stage before running it."},
 	TargetFailed:        {"target_failed", 502, MayHaveRun, ResendAsk, 1917, "A target failed while it may have run the stage."},
-	TargetRejectedInput: {"target_rejected_input", 422, MayHaveRun, ResendNever, 1918, "A target found the input unacceptable."},
-	StreamBroken:        {"stream_broken", 502, MayHaveRun, ResendAsk, 1919, "The answer broke off and could not be resumed."},
-	AnswerTooLarge:      {"answer_too_large", 502, Ran, ResendNever, 1920, "The answer exceeds the limit."},
-	CrashesTargets:      {"crashes_targets", 422, MayHaveRun, ResendNever, 1921, "Targets died while running this request; it is refused."},
-	KeyReused:           {"key_reused", 422, NotRun, ResendNever, 1922, "The idempotency key was used with another body."},
-	KeyExpired:          {"key_expired", 410, MayHaveRun, ResendNever, 1923, "The idempotency key is older than its retention."},
+	TargetRejectedInput: {"target_rejected_input", 422, MayHaveRun, ResendNever, 1918, "A target rejected the input as invalid."},
+	StreamBroken:        {"stream_broken", 502, MayHaveRun, ResendAsk, 1919, "The response stream was interrupted and could not be resumed."},
+	AnswerTooLarge:      {"answer_too_large", 502, Ran, ResendNever, 1920, "The response exceeds the size limit."},
+	CrashesTargets:      {"crashes_targets", 422, MayHaveRun, ResendNever, 1921, "Targets crashed while running this request, so it is refused."},
+	KeyReused:           {"key_reused", 422, NotRun, ResendNever, 1922, "The idempotency key was already used with a different request body."},
+	KeyExpired:          {"key_expired", 410, MayHaveRun, ResendNever, 1923, "The idempotency key is older than its retention period."},
 	KeyInProgress:       {"key_in_progress", 409, MayHaveRun, ResendAsk, 1924, "A request with this key is running."},
 	OutcomeUnknown:      {"outcome_unknown", 409, MayHaveRun, ResendNever, 1925, "A request with this key was started and its outcome is not recorded."},
 	StoppedMidway:       {"stopped_midway", 503, MayHaveRun, ResendLater, 1926, "Some stages ran; the rest were not started."},
 	StoreUnavailable:    {"store_unavailable", 503, NotRun, ResendLater, 1927, "The platform's store did not answer in time, so nothing was started."},
 	Stopping:            {"stopping", 503, NotRun, ResendElsewhere, 1928, "This instance is stopping."},
 	Isolated:            {"isolated", 503, NotRun, ResendElsewhere, 1929, "This instance cannot confirm its configuration."},
-	Cancelled:           {"cancelled", statusClientClosed, MayHaveRun, ResendAsk, 1930, "The caller went away."},
-	ProfileInvalid:      {"profile_invalid", 422, NotRun, ResendNever, 1931, "The profile breaks a rule."},
-	Conflict:            {"conflict", 409, NotRun, ResendNever, 1932, "Another change came first."},
-	ChangeUnknown:       {"change_unknown", 504, MayHaveRun, ResendAsk, 1933, "The platform did not confirm the change; ask by its change id."},
+	Cancelled:           {"cancelled", statusClientClosed, MayHaveRun, ResendAsk, 1930, "The caller cancelled the request or disconnected."},
+	ProfileInvalid:      {"profile_invalid", 422, NotRun, ResendNever, 1931, "The profile violates a validation rule."},
+	Conflict:            {"conflict", 409, NotRun, ResendNever, 1932, "A concurrent change was applied first."},
+	ChangeUnknown:       {"change_unknown", 504, MayHaveRun, ResendAsk, 1933, "The platform did not confirm the change; query its state by its change ID."},
 }
 
 // Kinds returns every kind in the order of the table.
@@ -137,7 +137,8 @@
 	return kinds
 }
 
-// Answer returns the row of the kind.
+// Answer returns the kind's row of the table, that of Internal for a number
+// that is not a kind.
 func (k Kind) Answer() Answer {
 	if k < 0 || k >= kindCount {
 		return table[Internal]
@@ -148,10 +149,11 @@
 // String returns the kind's name as callers see it.
 func (k Kind) String() string { return k.Answer().Name }
 
-// RunState returns the run state that the kind promises.
+// RunState returns the run state that the kind guarantees.
 func (k Kind) RunState() RunState { return k.Answer().RunState }
 
-// ParseKind returns the kind of a name, as received from a peer or an instance.
+// ParseKind returns the kind with the name, as received from a peer or an
+// instance. For an unknown name it returns Internal and false.
 func ParseKind(name string) (Kind, bool) {
 	for _, k := range Kinds() {
 		if k.String() == name {
@@ -168,22 +170,22 @@
 	retryAfterValue
 )
 
-// New returns an error of the kind with a sentence for the caller.
+// New returns an error of the kind with a message for the caller.
 func New(k Kind, format string, args ...any) error {
 	return merry.New(fmt.Sprintf(format, args...), merry.WithValue(kindValue, k), merry.NoCaptureStack())
 }
 
-// Wrap gives err a kind and puts a sentence before its message.
+// Wrap returns err with a kind and with a text prepended to its message.
 func Wrap(err error, k Kind, format string, args ...any) error {
 	return merry.Wrap(err, merry.PrependMessagef(format, args...), merry.WithValue(kindValue, k), merry.NoCaptureStack())
 }
 
-// WithRetryAfter adds to err when the caller may come back.
+// WithRetryAfter returns err with the time after which the caller may retry.
 func WithRetryAfter(err error, after time.Duration) error {
 	return merry.Wrap(err, merry.WithValue(retryAfterValue, after), merry.NoCaptureStack())
 }
 
-// Of returns the kind of err, Internal if it has none.
+// Of returns the kind of err, or Internal if err has none.
 func Of(err error) Kind {
 	if k, ok := merry.Value(err, kindValue).(Kind); ok {
 		return k
@@ -196,7 +198,8 @@
 	return err != nil && Of(err) == k
 }
 
-// RetryAfter returns when the caller may come back, 0 if err does not say.
+// RetryAfter returns the time after which the caller may retry, or 0 if err
+// carries none.
 func RetryAfter(err error) time.Duration {
 	after, _ := merry.Value(err, retryAfterValue).(time.Duration)
 	return after
@@ -213,7 +216,8 @@
 }
 
 // BodyOf returns the JSON form of err. The message of an Internal error is
-// replaced by a fixed sentence: it may hold details that are for the log only.
+// replaced by a fixed sentence, since it may contain details that are for the
+// log only.
 func BodyOf(err error, requestID string) Body {
 	kind := Of(err)
 	answer := kind.Answer()
@@ -231,7 +235,8 @@
 	}
 }
 
-// Err turns a received body back into an error of the same kind.
+// Err converts a received body back into an error of the same kind. A body of an
+// unknown kind becomes an error without a kind.
 func (b Body) Err() error {
 	kind, ok := ParseKind(b.Kind)
 	if !ok {
--- a/internal/errkind/errkind_test.go
+++ b/internal/errkind/errkind_test.go
@@ -14,10 +14,10 @@
 	for _, k := range errkind.Kinds() {
 		a := k.Answer()
 		if a.Name == "" || a.Meaning == "" || a.RunState == "" || a.Resend == "" || a.Status < 400 || a.Status > 599 {
-			t.Errorf("kind %d has gaps: %+v", k, a)
+			t.Errorf("kind %d has an incomplete or invalid row: %+v", k, a)
 		}
 		if names[a.Name] {
-			t.Errorf("two kinds are called %s", a.Name)
+			t.Errorf("two kinds have the name %s", a.Name)
 		}
 		names[a.Name] = true
 		def := event.Lookup(event.ID(a.Event))
@@ -25,13 +25,13 @@
 			t.Errorf("kind %s has event %d %s: %s", a.Name, a.Event, def.Name, def.Meaning)
 		}
 		if back, ok := errkind.ParseKind(a.Name); !ok || back != k {
-			t.Errorf("name %s leads to %v", a.Name, back)
+			t.Errorf("name %s is parsed as %v", a.Name, back)
 		}
 	}
 }
 
-// A caller that is told to send again without asking first must not cause a
-// second run: that advice goes only with not_run, or where a key protects it.
+// Guards against advice that causes a second run: a caller may be advised to
+// retry at another instance without querying the outcome only with not_run.
 func TestAdviceToResendElsewhereGoesWithNotRun(t *testing.T) {
 	for _, k := range errkind.Kinds() {
 		if a := k.Answer(); a.Resend == errkind.ResendElsewhere && a.RunState != errkind.NotRun {
--- a/internal/event/catalogue.go
+++ b/internal/event/catalogue.go
@@ -6,15 +6,15 @@
 	"sync"
 )
 
-// catalogue holds every definition by number. Packages add theirs in a file
-// of this package named after them, catalogue_PACKAGE.go.
+// catalogue maps each event number to its definition. The events of a package
+// are defined in a file of this package named catalogue_PACKAGE.go.
 var (
 	catalogueMu sync.RWMutex // guards catalogue
 	catalogue   = make(map[ID]Definition)
 )
 
-// define adds definitions; it panics when a number stands twice, which the
-// first test run shows.
+// define adds definitions to the catalogue. It panics if a number is defined
+// twice; it runs at package initialisation, so any test run detects that.
 func define(defs ...Definition) bool {
 	catalogueMu.Lock()
 	defer catalogueMu.Unlock()
@@ -27,8 +27,9 @@
 	return true
 }
 
-// Lookup returns the definition of the number. An unknown number is reported
-// as an error event, so that it shows in the log instead of vanishing.
+// Lookup returns the definition of the event number. For an unknown number it
+// returns an error event, so that the event appears in the log instead of being
+// dropped.
 func Lookup(id ID) Definition {
 	catalogueMu.RLock()
 	defer catalogueMu.RUnlock()
@@ -38,7 +39,7 @@
 	return Definition{ID: id, Level: Error, Name: "undefined_event"}
 }
 
-// All returns the catalogue in the order of the numbers.
+// All returns all definitions, sorted by event number.
 func All() []Definition {
 	catalogueMu.RLock()
 	defer catalogueMu.RUnlock()
--- a/internal/event/catalogue_adminapi.go
+++ b/internal/event/catalogue_adminapi.go
@@ -8,7 +8,7 @@
 )
 
 var _ = define(
-	Definition{OperatorChanged, Info, "operator_changed", "Audit: an operator changed something; with operator, operation and subject."},
-	Definition{OperatorRefused, Warn, "operator_refused", "Audit: a call of the admin API was refused for its token or role."},
-	Definition{OperatorFailed, Warn, "operator_failed", "Audit: an operator's change failed; with the error kind. change_unknown means that it may have taken effect."},
+	Definition{OperatorChanged, Info, "operator_changed", "Audit: an operator made a change; the fields give operator, operation and subject."},
+	Definition{OperatorRefused, Warn, "operator_refused", "Audit: a call of the admin API was refused because of its token or role."},
+	Definition{OperatorFailed, Warn, "operator_failed", "Audit: an operator's change failed; the fields give the error kind. change_unknown means that the change may have taken effect."},
 )
--- a/internal/event/catalogue_admission.go
+++ b/internal/event/catalogue_admission.go
@@ -9,8 +9,8 @@
 )
 
 var _ = define(
-	Definition{AdmissionTargetEjected, Warn, "target_ejected", "A target failed or was slow far beyond its service and gets no calls for the time given; look at the target if it comes again."},
-	Definition{AdmissionTargetLeaving, Info, "target_leaving_seen", "A target itself said that it is leaving; it gets no new calls."},
-	Definition{AdmissionShedding, Warn, "shedding", "The instance is near its limit of requests in flight and refuses low priorities and organisations above their fair share."},
-	Definition{AdmissionShedOver, Info, "shedding_over", "The instance takes all requests again."},
+	Definition{AdmissionTargetEjected, Warn, "target_ejected", "A target failed or was far slower than is typical of its service, and gets no calls for the given time; investigate the target if this recurs."},
+	Definition{AdmissionTargetLeaving, Info, "target_leaving_seen", "A target reported that it is leaving; it gets no new calls."},
+	Definition{AdmissionShedding, Warn, "shedding", "The instance is near its limit of requests in flight and refuses requests of low priority and of organisations above their fair share."},
+	Definition{AdmissionShedOver, Info, "shedding_over", "The instance accepts all requests again."},
 )
--- a/internal/event/catalogue_auth.go
+++ b/internal/event/catalogue_auth.go
@@ -9,8 +9,8 @@
 )
 
 var _ = define(
-	Definition{TokensReloaded, Info, "tokens_reloaded", "The token file changed and was read again."},
-	Definition{TokensUnusable, Error, "tokens_unusable", "The changed token file cannot be used; the tokens stay as they were. Mend the file; lynxhilld check shows the fault."},
-	Definition{CertificatesReloaded, Info, "certificates_reloaded", "Certificate, key or CA of a listener changed and were read again."},
-	Definition{CertificatesUnusable, Error, "certificates_unusable", "Changed certificate, key or CA of a listener cannot be used; the old ones stay in use. Mend the files before the old certificate expires."},
+	Definition{TokensReloaded, Info, "tokens_reloaded", "The token file changed and was reloaded."},
+	Definition{TokensUnusable, Error, "tokens_unusable", "The changed token file cannot be used; the previous tokens stay valid. Fix the file; lynxhilld check reports the error."},
+	Definition{CertificatesReloaded, Info, "certificates_reloaded", "The certificate, key or CA of a listener changed and was reloaded."},
+	Definition{CertificatesUnusable, Error, "certificates_unusable", "The changed certificate, key or CA of a listener cannot be used; the previous ones stay in use. Fix the files before the previous certificate expires."},
 )
--- a/internal/event/catalogue_callerapi.go
+++ b/internal/event/catalogue_callerapi.go
@@ -12,10 +12,10 @@
 )
 
 var _ = define(
-	Definition{RequestAnswered, Debug, "request_answered", "A request was answered whole."},
+	Definition{RequestAnswered, Debug, "request_answered", "A request was answered completely."},
 	Definition{HandlerPanicked, Error, "handler_panicked", "A defect: the handler of a request panicked; its caller got an internal error. Report it with the stack."},
-	Definition{LibraryWarning, Warn, "library_warning", "A library reports a fault."},
-	Definition{LibraryNote, Debug, "library_note", "A library reports what it does."},
+	Definition{LibraryWarning, Warn, "library_warning", "A library logged a warning or an error."},
+	Definition{LibraryNote, Debug, "library_note", "A library logged a message below the level of a warning."},
 	Definition{ServerListening, Info, "server_listening", "A listener accepts connections."},
 	Definition{ServerFailed, Error, "server_failed", "A listener failed and accepts no more connections; the instance stops."},
 	Definition{ServerWarning, Debug, "server_warning", "The HTTP server reports a faulty connection, such as a failed TLS handshake."},
--- a/internal/event/catalogue_claim.go
+++ b/internal/event/catalogue_claim.go
@@ -17,14 +17,14 @@
 
 var _ = define(
 	Definition{ClaimSealed, Debug, "claim_window_sealed", "A window of claims is full; the next one is in use."},
-	Definition{ClaimSettled, Info, "claim_write_settled", "The reply to a write of claims was lost, and reading back has shown whether it took effect."},
-	Definition{ClaimStoreWaits, Warn, "claim_store_waits", "Claims wait for the platform's store; stages that are not idempotent are refused when their deadline comes. Check the platform, and the claim_store_errors_total metric."},
-	Definition{ClaimWindowMissing, Error, "claim_window_missing", "A window of claims that is within its retention is not in the store, so claims of its shard are refused. Somebody removed an object below claims/; restore it, or wait out the retention."},
+	Definition{ClaimSettled, Info, "claim_write_settled", "The reply to a write of claims was lost; reading the object back has shown whether the write took effect."},
+	Definition{ClaimStoreWaits, Warn, "claim_store_waits", "Claims are waiting for the platform's store; stages that are not idempotent are refused at their deadline. Check the platform and the claim_store_errors_total metric."},
+	Definition{ClaimWindowMissing, Error, "claim_window_missing", "A window of claims within its retention period is missing from the store, so claims of its shard are refused. An object below claims/ was removed; restore it, or wait until the retention period has passed."},
 	Definition{ClaimWindowInvalid, Error, "claim_window_invalid", "An object below claims/ cannot be decoded, so claims of its shard are refused. Check which program wrote it."},
-	Definition{ClaimRemoved, Debug, "claim_windows_removed", "Windows of claims past their retention were removed."},
-	Definition{ClaimDropped, Warn, "claim_record_dropped", "Completions or releases were dropped while the store was down; resends of their keys will be told outcome_unknown."},
-	Definition{ClaimTicketsFull, Warn, "claim_tickets_full", "The memory for keys under this instance's tickets is full; further ones are claimed in the platform. Fewer keys per ticket or more instances make room."},
-	Definition{ClaimFormat, Error, "claim_shards_differ", "The platform's claims were written with another number of shards than this instance's settings say; it refuses claims, since it would not find the recorded ones. Set claims.shards as it was."},
-	Definition{ClaimHandedOver, Info, "claim_records_handed_over", "A stopping instance gave other instances the completions and releases that the store did not take."},
-	Definition{ClaimUnrecorded, Error, "claim_records_lost", "A stopping instance ended with completions or releases that neither the store nor another instance took; resends of their keys will be told outcome_unknown."},
+	Definition{ClaimRemoved, Debug, "claim_windows_removed", "Windows of claims past their retention period were removed."},
+	Definition{ClaimDropped, Warn, "claim_record_dropped", "Completions or releases of claims were dropped while the store was down; retries with their keys will get outcome_unknown."},
+	Definition{ClaimTicketsFull, Warn, "claim_tickets_full", "The memory for keys under this instance's tickets is full; further keys are claimed in the platform's store. Use fewer keys per ticket or add instances."},
+	Definition{ClaimFormat, Error, "claim_shards_differ", "The platform's claims were written with a number of shards that differs from this instance's settings; the instance refuses claims, since it would not find the recorded ones. Restore the previous value of claims.shards."},
+	Definition{ClaimHandedOver, Info, "claim_records_handed_over", "A stopping instance transferred to other instances the completions and releases that the store had not accepted."},
+	Definition{ClaimUnrecorded, Error, "claim_records_lost", "A stopping instance ended with completions or releases that neither the store nor another instance had accepted; retries with their keys will get outcome_unknown."},
 )
--- a/internal/event/catalogue_crashguard.go
+++ b/internal/event/catalogue_crashguard.go
@@ -6,5 +6,5 @@
 )
 
 var _ = define(
-	Definition{CrashguardRefused, Error, "crashguard_refused", "Several targets died while running one request; it is refused everywhere until the refusal expires. Find the caller by the crashes_targets errors and look at the input."},
+	Definition{CrashguardRefused, Error, "crashguard_refused", "Several targets crashed while running one request; all instances refuse the request until the refusal expires. Find the caller by the crashes_targets errors and inspect the input."},
 )
--- a/internal/event/catalogue_daemon.go
+++ b/internal/event/catalogue_daemon.go
@@ -10,9 +10,9 @@
 )
 
 var _ = define(
-	Definition{DaemonStarted, Info, "daemon_started", "The instance has opened its listeners and serves."},
-	Definition{DaemonStopping, Info, "daemon_stopping", "A graceful stop has begun: no new callers are sent here, those with a kept address answer are still served."},
+	Definition{DaemonStarted, Info, "daemon_started", "The instance has opened its listeners and serves requests."},
+	Definition{DaemonStopping, Info, "daemon_stopping", "A graceful stop has begun: no new callers are directed to this instance; callers that have cached its address are still served."},
 	Definition{DaemonStopped, Info, "daemon_stopped", "The instance has stopped."},
-	Definition{DaemonStopCut, Error, "daemon_stop_cut", "The longest time for a graceful stop ran out with requests in flight; they were cut. Raise timings.stop_grace."},
-	Definition{OutcomesLost, Warn, "outcomes_not_handed_over", "A stopping instance gave its recent outcomes to no other instance; resends find only what the claims record."},
+	Definition{DaemonStopCut, Error, "daemon_stop_cut", "The time limit of a graceful stop expired with requests in flight; they were aborted. Raise timings.stop_grace."},
+	Definition{OutcomesLost, Warn, "outcomes_not_handed_over", "A stopping instance transferred its recent outcomes to no other instance; retries find only what the claims record."},
 )
--- a/internal/event/catalogue_drain.go
+++ b/internal/event/catalogue_drain.go
@@ -8,7 +8,7 @@
 )
 
 var _ = define(
-	Definition{DrainOrdered, Info, "drain_in_force", "An operator's drain of the subject is in force here."},
-	Definition{DrainCleared, Info, "drain_cleared", "The drain of the subject is no longer in force here."},
-	Definition{DrainInvalid, Error, "drain_invalid", "A drain object cannot be read; its subject counts as drained. Take it back and order it anew."},
+	Definition{DrainOrdered, Info, "drain_in_force", "An operator's drain of the subject is in force on this instance."},
+	Definition{DrainCleared, Info, "drain_cleared", "The drain of the subject is no longer in force on this instance."},
+	Definition{DrainInvalid, Error, "drain_invalid", "A drain object cannot be read; its subject is treated as drained. Remove the drain and order it again."},
 )
--- a/internal/event/catalogue_errkind.go
+++ b/internal/event/catalogue_errkind.go
@@ -1,8 +1,8 @@
 package event
 
 // Events of errors that leave an instance, one for each kind of package
-// errkind. 4xx kinds are the caller's or operator's doing; the others say that
-// something is wrong here, at the platform or at the targets.
+// errkind. The kinds with a 4xx status are caused by the caller or an operator;
+// the others indicate a fault in this instance, the platform or the targets.
 const (
 	RequestInternal            ID = 1900
 	RequestBadRequest          ID = 1901
@@ -45,7 +45,7 @@
 	Definition{RequestBadRequest, Info, "request_bad_request", "The request is malformed."},
 	Definition{RequestNoOrganisation, Info, "request_no_organisation", "The request names no organisation."},
 	Definition{RequestUnauthenticated, Info, "request_unauthenticated", "The token is missing or unknown."},
-	Definition{RequestForbidden, Info, "request_forbidden", "The token does not allow this."},
+	Definition{RequestForbidden, Info, "request_forbidden", "The token does not permit this operation."},
 	Definition{RequestUnknownProfile, Info, "request_unknown_profile", "No profile of that name is in force."},
 	Definition{RequestUnknownKey, Info, "request_unknown_key", "This instance has no record of the idempotency key."},
 	Definition{RequestNotFound, Info, "request_not_found", "There is no such object."},
@@ -59,20 +59,20 @@
 	Definition{RequestNoTarget, Warn, "request_no_target", "No target of the service is ready."},
 	Definition{RequestTargetRefused, Warn, "request_target_refused", "Every target that was tried refused the stage before running it."},
 	Definition{RequestTargetFailed, Warn, "request_target_failed", "A target failed while it may have run the stage."},
-	Definition{RequestTargetRejectedInput, Info, "request_target_rejected_input", "A target found the input unacceptable."},
-	Definition{RequestStreamBroken, Warn, "request_stream_broken", "The answer broke off and could not be resumed."},
-	Definition{RequestAnswerTooLarge, Warn, "request_answer_too_large", "The answer exceeds the limit."},
-	Definition{RequestCrashesTargets, Info, "request_crashes_targets", "Targets died while running this request; it is refused."},
-	Definition{RequestKeyReused, Info, "request_key_reused", "The idempotency key was used with another body."},
-	Definition{RequestKeyExpired, Info, "request_key_expired", "The idempotency key is older than its retention."},
+	Definition{RequestTargetRejectedInput, Info, "request_target_rejected_input", "A target rejected the input as invalid."},
+	Definition{RequestStreamBroken, Warn, "request_stream_broken", "The response stream was interrupted and could not be resumed."},
+	Definition{RequestAnswerTooLarge, Warn, "request_answer_too_large", "The response exceeds the size limit."},
+	Definition{RequestCrashesTargets, Info, "request_crashes_targets", "Targets crashed while running this request, so it is refused."},
+	Definition{RequestKeyReused, Info, "request_key_reused", "The idempotency key was already used with a different request body."},
+	Definition{RequestKeyExpired, Info, "request_key_expired", "The idempotency key is older than its retention period."},
 	Definition{RequestKeyInProgress, Info, "request_key_in_progress", "A request with this key is running."},
 	Definition{RequestOutcomeUnknown, Info, "request_outcome_unknown", "A request with this key was started and its outcome is not recorded."},
 	Definition{RequestStoppedMidway, Warn, "request_stopped_midway", "Some stages ran; the rest were not started."},
 	Definition{RequestStoreUnavailable, Warn, "request_store_unavailable", "The platform's store did not answer in time, so nothing was started."},
 	Definition{RequestStopping, Warn, "request_stopping", "This instance is stopping."},
 	Definition{RequestIsolated, Warn, "request_isolated", "This instance cannot confirm its configuration."},
-	Definition{RequestCancelled, Info, "request_cancelled", "The caller went away."},
-	Definition{RequestProfileInvalid, Info, "request_profile_invalid", "The profile breaks a rule."},
-	Definition{RequestConflict, Info, "request_conflict", "Another change came first."},
-	Definition{RequestChangeUnknown, Warn, "request_change_unknown", "The platform did not confirm the change; ask by its change id."},
+	Definition{RequestCancelled, Info, "request_cancelled", "The caller cancelled the request or disconnected."},
+	Definition{RequestProfileInvalid, Info, "request_profile_invalid", "The profile violates a validation rule."},
+	Definition{RequestConflict, Info, "request_conflict", "A concurrent change was applied first."},
+	Definition{RequestChangeUnknown, Warn, "request_change_unknown", "The platform did not confirm the change; query its state by its change ID."},
 )
--- a/internal/event/catalogue_forwarding.go
+++ b/internal/event/catalogue_forwarding.go
@@ -18,17 +18,17 @@
 )
 
 var _ = define(
-	Definition{ForwardAnswered, Debug, "forward_answered", "A plain request got a target's answer. The line holds the version of the routes, the target and the times, as that of a failure does."},
-	Definition{ForwardFailed, Info, "forward_failed", "A plain request got an answer of this instance's own, or a failure; outcome says why, ran whether a target may have run it, dispatcher which instance scheduled it. Times are in milliseconds: read_ms until it was read, wait_ms in wait of a placement, first_ms from its arrival to the first bytes of its answer, ms in all."},
+	Definition{ForwardAnswered, Debug, "forward_answered", "A plain request was answered by a target. The fields give the version of the routes, the target and the times, as those of a failure do."},
+	Definition{ForwardFailed, Info, "forward_failed", "A plain request was answered by this instance itself, or failed; outcome gives the reason, ran whether a target may have run it, dispatcher the instance that scheduled it. Times are in milliseconds: read_ms until the request was read, wait_ms spent waiting for a placement, first_ms from its arrival to the first bytes of the response, ms in total."},
 	Definition{ForwardAttemptFailed, Info, "forward_attempt_failed", "A target refused or failed a plain request; sent says whether a byte of it may have reached the target."},
-	Definition{ForwardStreamBroke, Info, "forward_stream_broke", "A target's stream broke off; it is resumed at another if the route allows it."},
-	Definition{ForwardLate, Info, "forward_late", "A plain request got a target's answer, but later than its route's target latency, of a stream the first event; the fields are those of a failure. At most 10 such lines a second are written."},
-	Definition{ForwardLateLeftOut, Info, "forward_late_left_out", "So many late answers of this second have a line at level debug only."},
-	Definition{ForwardBudgetShared, Info, "forward_budget_shared", "The number of instances that share the extra repeats changed; known is the current count of instances, part this instance's allowance for a window beyond its share of the requests, age the time since its budget was created."},
-	Definition{IngressRefused, Info, "ingress_refused", "A plain request was refused before a route was found for it; reason says why."},
+	Definition{ForwardStreamBroke, Info, "forward_stream_broke", "A target's stream was interrupted; it is resumed at another target if the route allows it."},
+	Definition{ForwardLate, Info, "forward_late", "A plain request was answered by a target, but later than its route's target latency (for a stream, the first event was late); the fields are those of a failure. At most 10 such lines a second are written."},
+	Definition{ForwardLateLeftOut, Info, "forward_late_left_out", "The given number of late responses of this second were logged at level debug only."},
+	Definition{ForwardBudgetShared, Info, "forward_budget_shared", "The number of instances that share the budget of extra repeats changed; known is the current count of instances, part this instance's allowance for a window beyond its share of the requests, age the time since its budget was created."},
+	Definition{IngressRefused, Info, "ingress_refused", "A plain request was refused before its route was determined; reason gives the cause."},
 	Definition{IngressListening, Info, "ingress_listening", "The instance listens for plain requests."},
-	Definition{IngressStopping, Info, "ingress_stopping", "The instance is stopping: it is not named to callers any more and finishes what it has."},
+	Definition{IngressStopping, Info, "ingress_stopping", "The instance is stopping: it is no longer listed to callers and finishes its requests in flight."},
 	Definition{IngressStopped, Info, "ingress_stopped", "The instance has stopped; cut is the number of requests that were not finished."},
-	Definition{IngressUnknown, Info, "ingress_unknown", "A request named a route or carried a key that the routes in force do not have: path, version in force, age and source (the store or an instance) of the store's newest word that this version is in force. The kind says whether the caller was told so (not_found, unauthenticated) or asked to come back (isolated), since a change may have been missed."},
-	Definition{IngressWoke, Warn, "ingress_woke", "The process did not run for a while; what it knows is confirmed anew."},
+	Definition{IngressUnknown, Info, "ingress_unknown", "A request named a route or carried a key that the routes in force do not contain. The fields give the path, the version in force, and the age and source (the store or an instance) of the store's latest confirmation that this version is in force. The kind says whether the caller got a definite error (not_found, unauthenticated) or was asked to retry (isolated), since a change may have been missed."},
+	Definition{IngressWoke, Warn, "ingress_woke", "The process did not run for a while; it confirms its cached state again."},
 )
--- a/internal/event/catalogue_invariant.go
+++ b/internal/event/catalogue_invariant.go
@@ -6,5 +6,5 @@
 )
 
 var _ = define(
-	Definition{InvariantViolated, Error, "invariant_violated", "The program broke one of its own rules; the request got an error instead of a wrong answer. This is a defect: report it with the log around it."},
+	Definition{InvariantViolated, Error, "invariant_violated", "The program violated one of its own invariants; the request got an error instead of a wrong response. This is a defect: report it with the surrounding log."},
 )
--- a/internal/event/catalogue_lease.go
+++ b/internal/event/catalogue_lease.go
@@ -11,10 +11,10 @@
 )
 
 var _ = define(
-	Definition{LeaseAcquired, Info, "lease_acquired", "This instance now gives the orders to the engines of the service."},
+	Definition{LeaseAcquired, Info, "lease_acquired", "This instance holds the lease of the service and now gives orders to its engines."},
 	Definition{LeaseLost, Warn, "lease_lost", "Another instance took the lease of the service; this one gives no more orders."},
-	Definition{LeaseLapsed, Warn, "lease_lapsed", "The lease ran out before it was renewed: the store was away or this instance was paused."},
-	Definition{LeaseUnknown, Info, "lease_write_unknown", "The reply to a lease write was lost; it is settled by reading back."},
-	Definition{LeaseReleased, Info, "lease_released", "This instance gave the lease back because it is stopping."},
-	Definition{LeaseUnreadable, Error, "lease_unreadable", "The lease object does not hold a lease; it counts as held until its longest duration has passed."},
+	Definition{LeaseLapsed, Warn, "lease_lapsed", "The lease expired before it was renewed: the store was unavailable or this instance was paused."},
+	Definition{LeaseUnknown, Info, "lease_write_unknown", "The reply to a lease write was lost; the lease is read back to find out whether the write took effect."},
+	Definition{LeaseReleased, Info, "lease_released", "This instance released the lease because it is stopping."},
+	Definition{LeaseUnreadable, Error, "lease_unreadable", "The lease object does not hold a valid lease; it is treated as held until the longest lease duration has passed."},
 )
--- a/internal/event/catalogue_limits.go
+++ b/internal/event/catalogue_limits.go
@@ -6,5 +6,5 @@
 )
 
 var _ = define(
-	Definition{LimitsInvalid, Error, "limit_invalid", "A limit in the store can't be read; the organisation keeps the limit it had. Set it again with lynxctl."},
+	Definition{LimitsInvalid, Error, "limit_invalid", "A limit in the store cannot be read; the organisation keeps its previous limit. Set it again with lynxctl."},
 )
--- a/internal/event/catalogue_membership.go
+++ b/internal/event/catalogue_membership.go
@@ -12,11 +12,11 @@
 )
 
 var _ = define(
-	Definition{MembershipSuspect, Info, "instance_suspect", "An instance answered neither this one nor others that were asked to try it. It has a few seconds to reassert itself."},
-	Definition{MembershipDead, Warn, "instance_dead", "A suspect instance did not reassert itself and is taken for dead. If many appear at once, look for a network split."},
-	Definition{MembershipLeft, Info, "instance_left", "An instance that had announced its leaving is gone."},
-	Definition{MembershipHealed, Info, "instance_back", "An instance that was taken for dead answered again."},
+	Definition{MembershipSuspect, Info, "instance_suspect", "An instance answered neither this one nor the others that were asked to probe it. It has a few seconds to refute the suspicion."},
+	Definition{MembershipDead, Warn, "instance_dead", "A suspect instance did not refute the suspicion and is declared dead. If many appear at once, look for a network partition."},
+	Definition{MembershipLeft, Info, "instance_left", "An instance that had announced that it was leaving is gone."},
+	Definition{MembershipHealed, Info, "instance_back", "An instance that had been declared dead answered again."},
 	Definition{MembershipLeaving, Info, "leaving_announced", "This instance announced that it is leaving."},
-	Definition{MembershipRegisterFailed, Warn, "register_failed", "This instance could not refresh its entry in the platform's instance list; it tries again."},
+	Definition{MembershipRegisterFailed, Warn, "register_failed", "This instance could not refresh its entry in the platform's instance list; it retries."},
 	Definition{MembershipGone, Info, "instance_gone", "The platform's instance list says that a dead instance is leaving: an operator declared it gone. Changes are accepted without it."},
 )
--- a/internal/event/catalogue_notice.go
+++ b/internal/event/catalogue_notice.go
@@ -10,9 +10,9 @@
 )
 
 var _ = define(
-	Definition{NoticeLeaving, Info, "notice_leaving", "A target says in an answer that it leaves, or another one answers at its address; it gets no new work from here."},
-	Definition{NoticeLimit, Info, "notice_limit", "A target names how many requests a second it takes from all instances together; before is what it named until now, 0 if nothing."},
-	Definition{NoticeLimitEnded, Info, "notice_limit_ended", "A target that had named a limit names none any more."},
-	Definition{NoticePause, Info, "notice_pause", "A target that turned a request away wants nothing more from this instance for so long."},
-	Definition{NoticeUnreadable, Warn, "notice_unreadable", "A target's answer asks for something in a form that cannot be read; it counts as not said."},
+	Definition{NoticeLeaving, Info, "notice_leaving", "A target's response says that it is leaving, or a different target answers at its address; it gets no new work from this instance."},
+	Definition{NoticeLimit, Info, "notice_limit", "A target announced how many requests per second it accepts from all instances together; before is its previous limit, 0 if there was none."},
+	Definition{NoticeLimitEnded, Info, "notice_limit_ended", "A target that had announced a limit no longer announces one."},
+	Definition{NoticePause, Info, "notice_pause", "A target that rejected a request asked this instance to send nothing more for the given time."},
+	Definition{NoticeUnreadable, Warn, "notice_unreadable", "A target's response contains a notice that cannot be parsed; the notice is ignored."},
 )
--- a/internal/event/catalogue_orders.go
+++ b/internal/event/catalogue_orders.go
@@ -11,10 +11,10 @@
 )
 
 var _ = define(
-	Definition{OrderGiven, Info, "order_given", "An engine took an order."},
-	Definition{OrderFailed, Warn, "order_failed", "An engine did not take an order; its state is read back and the order repeated if it is still due."},
-	Definition{OrderOldFence, Warn, "order_old_fence", "An engine refused an order for its old fencing number: another instance gives orders now, or this one renewed its lease meanwhile."},
-	Definition{OrderHeldBack, Info, "order_held_back", "A model was not unloaded because no other engine confirmed that it has it ready."},
-	Definition{PlanUnreadable, Error, "plan_unreadable", "A model plan in the platform cannot be read; the last one read stays in force."},
+	Definition{OrderGiven, Info, "order_given", "An engine accepted an order."},
+	Definition{OrderFailed, Warn, "order_failed", "An engine did not accept an order; its state is read back and the order is repeated if it is still needed."},
+	Definition{OrderOldFence, Warn, "order_old_fence", "An engine refused an order because its fencing number is outdated: another instance gives the orders now, or this one has renewed its lease in the meantime."},
+	Definition{OrderHeldBack, Info, "order_held_back", "A model was not unloaded because no other engine confirmed that it has the model ready."},
+	Definition{PlanUnreadable, Error, "plan_unreadable", "A model plan in the platform's store cannot be read; the last one read stays in force."},
 	Definition{PlanUnmet, Warn, "plan_unmet", "A model version has fewer engines than its minimum and no engine has room for it."},
 )
--- a/internal/event/catalogue_outcome.go
+++ b/internal/event/catalogue_outcome.go
@@ -6,5 +6,5 @@
 )
 
 var _ = define(
-	Definition{OutcomeFull, Warn, "outcome_registry_full", "Finished outcomes were dropped for room before their time; a resend may be told unknown_key. Raise the registry's limits or send fewer large answers."},
+	Definition{OutcomeFull, Warn, "outcome_registry_full", "Finished outcomes were evicted before their time because the registry was full; a retry may get unknown_key. Raise the registry's limits or send fewer large responses."},
 )
--- a/internal/event/catalogue_peer.go
+++ b/internal/event/catalogue_peer.go
@@ -9,6 +9,6 @@
 
 var _ = define(
 	Definition{PeerServerWarning, Info, "peer_server_warning", "The server for other instances reports a faulty connection, such as one that went silent (a PING without an answer) or a failed TLS handshake."},
-	Definition{PeerCallUnanswered, Info, "peer_call_unanswered", "A call to another instance was given up on a kept connection on which nothing came while it waited: which call, what ended it, how long it waited, how long nothing had come on the connection, and how old that is. An instance that answers callers meanwhile is reached on new connections only."},
-	Definition{PeerConnectionSilent, Info, "peer_connection_silent", "A kept connection to another instance has gone silent while a new one was answered; it takes no more calls, and neither do other connections on which nothing has come since."},
+	Definition{PeerCallUnanswered, Info, "peer_call_unanswered", "A call to another instance was abandoned on a reused connection on which nothing arrived while it waited. The fields give the call, what ended it, how long it waited, how long nothing had arrived on the connection, and the age of the connection. An instance that answers callers meanwhile is reachable on new connections only."},
+	Definition{PeerConnectionSilent, Info, "peer_connection_silent", "A kept connection to another instance stopped delivering data while a new one was answered; it gets no more calls, and neither do other connections on which nothing has arrived since."},
 )
--- a/internal/event/catalogue_pipeline.go
+++ b/internal/event/catalogue_pipeline.go
@@ -6,5 +6,5 @@
 )
 
 var _ = define(
-	Definition{PipelineRequestFailed, Warn, "pipeline_request_failed", "A request ended with an error after work was dispatched. The kind says what the caller was told; look at the targets of the stage named in the caller's message."},
+	Definition{PipelineRequestFailed, Warn, "pipeline_request_failed", "A request ended with an error after work was dispatched. The kind is the one that the caller got; check the targets of the stage named in the caller's message."},
 )
--- a/internal/event/catalogue_platform.go
+++ b/internal/event/catalogue_platform.go
@@ -8,7 +8,7 @@
 )
 
 var _ = define(
-	Definition{PlatformDown, Error, "platform_down", "Calls to the platform fail one after another; only a probe at a time is sent until one gets through. Requests go on; claims, profile changes and orders wait or are refused. Check the platform."},
-	Definition{PlatformUp, Info, "platform_up", "The platform answers again. Less important calls come back over the next half minute."},
-	Definition{PlatformEndpoint, Warn, "platform_endpoint_failed", "An endpoint of the platform could not be reached; the next one is tried. Check the address in the settings and the route to it."},
+	Definition{PlatformDown, Error, "platform_down", "Consecutive calls to the platform fail; only one probe at a time is sent until one succeeds. Requests continue; claims, profile changes and orders wait or are refused. Check the platform."},
+	Definition{PlatformUp, Info, "platform_up", "The platform answers again. Less important calls resume over the next half minute."},
+	Definition{PlatformEndpoint, Warn, "platform_endpoint_failed", "An endpoint of the platform could not be reached; the next one is tried. Check the address in the settings and the network route to it."},
 )
--- a/internal/event/catalogue_routesync.go
+++ b/internal/event/catalogue_routesync.go
@@ -16,15 +16,15 @@
 )
 
 var _ = define(
-	Definition{RoutesAdopted, Info, "routes_adopted", "A version of the table of routes is in force on this instance."},
-	Definition{RoutesNotNewer, Warn, "routes_not_newer", "A table of routes was offered, or deleted, whose version is not above the one in force; that one stays. The line holds the versions of both tables, if the offered one can be read, and the store's versions of both. If an operator wrote it, write it again with a higher version."},
-	Definition{RoutesUnreadable, Error, "routes_unreadable", "The offered table of routes cannot be read; the one before stays in force here. Write the table again."},
+	Definition{RoutesAdopted, Info, "routes_adopted", "A version of the route table is in force on this instance."},
+	Definition{RoutesNotNewer, Warn, "routes_not_newer", "A route table was offered, or deleted, whose version is not above the one in force; the one in force stays. The fields give the versions of both tables, if the offered one can be read, and the store's versions of both. If an operator wrote the table, write it again with a higher version."},
+	Definition{RoutesUnreadable, Error, "routes_unreadable", "The offered route table cannot be read; the previous one stays in force here. Write the table again."},
 	Definition{TargetsChanged, Info, "targets_changed", "Targets were added, changed or removed on this instance."},
-	Definition{TargetUnreadable, Error, "target_unreadable", "An entry of the target list cannot be read; the target stays as it was here. Write the entry again."},
-	Definition{RouteStoreLost, Warn, "route_store_lost", "The platform does not answer for routes and targets, or turns this instance away; what is known stays in use, and peers are asked."},
-	Definition{RouteStoreSilent, Warn, "route_store_silent", "The platform did not answer a probe, or rejected it, although a watch may still be pending; the other instances are told, so that they query the platform instead."},
-	Definition{RouteStoreRegained, Info, "route_store_regained", "The platform answers again for routes and targets."},
-	Definition{RoutePullFailed, Debug, "route_pull_failed", "Routes or targets could not be fetched from a peer; the next exchange names another one."},
-	Definition{StoreEraRose, Warn, "store_era_rose", "The platform's store came back from an older copy: what was written since is gone until it is written again. What was in force here stays; changes written after it are taken."},
-	Definition{PlacesEvacuated, Info, "places_evacuated", "The places whose targets get no new work, by an operator's order, have changed on this instance."},
+	Definition{TargetUnreadable, Error, "target_unreadable", "An entry of the target list cannot be read; the target keeps its previous state here. Write the entry again."},
+	Definition{RouteStoreLost, Warn, "route_store_lost", "The platform does not answer queries for routes and targets, or rejects this instance; the known ones stay in use, and peers are queried."},
+	Definition{RouteStoreSilent, Warn, "route_store_silent", "The platform did not answer a probe, or rejected it, although a watch may still be pending; the other instances are notified, so that they query the platform instead."},
+	Definition{RouteStoreRegained, Info, "route_store_regained", "The platform answers queries for routes and targets again."},
+	Definition{RoutePullFailed, Debug, "route_pull_failed", "Routes or targets could not be fetched from a peer; the next exchange names another peer."},
+	Definition{StoreEraRose, Warn, "store_era_rose", "The platform's store was restored from an older copy: everything written since that copy is lost until it is written again. What was in force on this instance stays in force; changes written after the restore are accepted."},
+	Definition{PlacesEvacuated, Info, "places_evacuated", "The availability zones whose targets get no new work, by an operator's order, have changed on this instance."},
 )
--- a/internal/event/catalogue_slo.go
+++ b/internal/event/catalogue_slo.go
@@ -7,6 +7,6 @@
 )
 
 var _ = define(
-	Definition{BudgetBurnsFast, Warn, "budget_burns_fast", "A profile misses its objective so fast, over the short and the long window, that its error budget will soon be spent. See lynxctl report burn for the stage, target and error kind."},
+	Definition{BudgetBurnsFast, Warn, "budget_burns_fast", "A profile misses its objective so often, over both the short and the long window, that its error budget will soon be exhausted. See lynxctl report burn for the stage, target and error kind."},
 	Definition{BudgetBurnEnded, Info, "budget_burn_ended", "A profile's error budget no longer burns fast."},
 )
--- a/internal/event/catalogue_steering.go
+++ b/internal/event/catalogue_steering.go
@@ -6,5 +6,5 @@
 )
 
 var _ = define(
-	Definition{SteeringNobody, Warn, "steering_nobody", "No instance takes new callers; the answer names those that are left, leaving ones included."},
+	Definition{SteeringNobody, Warn, "steering_nobody", "No instance accepts new callers; the response lists those that are left, including leaving ones."},
 )
--- a/internal/event/catalogue_target.go
+++ b/internal/event/catalogue_target.go
@@ -6,5 +6,5 @@
 )
 
 var _ = define(
-	Definition{TargetForeignFrame, Error, "target_foreign_frame", "A target sent a frame or reply of another attempt. It was dropped and the connection is not used again. Look at the target or at what stands between."},
+	Definition{TargetForeignFrame, Error, "target_foreign_frame", "A target sent a frame or reply of another attempt. It was dropped and the connection is not reused. Check the target and any proxy between it and the instance."},
 )
--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -1,6 +1,6 @@
 // Package event is the catalogue of numbered log events and the logger that
-// writes them. docs/EVENTS.md lists every number; a test holds the two
-// together. Numbers are never used again for another meaning.
+// writes them. docs/EVENTS.md lists every number; a test compares the page with
+// the catalogue. Numbers are never reused for another meaning.
 package event
 
 import (
@@ -22,12 +22,12 @@
 // ID is the number of an event. Each package has its own block of a hundred.
 type ID int
 
-// Definition is a row of the catalogue.
+// Definition is an entry of the catalogue.
 type Definition struct {
 	ID      ID
 	Level   Level
 	Name    string
-	Meaning string // what happened, and what an operator might do
+	Meaning string // what happened, and what an operator can do about it
 }
 
 // Logger writes events. The zero value and nil discard them.
@@ -38,7 +38,7 @@
 // NewLogger returns a logger that writes to base.
 func NewLogger(base log.Logger) *Logger { return &Logger{base: base} }
 
-// With returns a logger that adds the pairs to each event.
+// With returns a logger that adds the key-value pairs to each event.
 func (l *Logger) With(keyvals ...any) *Logger {
 	if l == nil || l.base == nil {
 		return l
@@ -46,8 +46,8 @@
 	return &Logger{base: log.With(l.base, keyvals...)}
 }
 
-// Log writes the event with the pairs. Values must not hold tokens, keys or
-// callers' inputs.
+// Log writes the event with the key-value pairs. Values must not contain
+// tokens, keys or callers' inputs.
 func (l *Logger) Log(id ID, keyvals ...any) {
 	if l == nil || l.base == nil {
 		return
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -282,7 +282,7 @@
       inputs   service=sevo4b target=i-438bee099f attempt=2 ms=140
       outcome  status=500 sent=true
    +0.073 s  edge-lac-a-2  forward_failed (4211, info)
-               A plain request got an answer of this instance's own, or a failure; outcome says why, ran whether a target may have run it, dispatcher which instance scheduled it. Times are in milliseconds: read_ms until it was read, wait_ms in wait of a placement, first_ms from its arrival to the first bytes of its answer, ms in all.
+               A plain request was answered by this instance itself, or failed; outcome gives the reason, ran whether a target may have run it, dispatcher the instance that scheduled it. Times are in milliseconds: read_ms until the request was read, wait_ms spent waiting for a placement, first_ms from its arrival to the first bytes of the response, ms in total.
       inputs   ms=140 sends=2 target=i-438bee099f
       outcome  ran=true status=500
 
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,7 +1,7 @@
-// Package metrics keeps one instance's metrics as expvar variables. Each is
-// defined once, with its unit and meaning, so that docs/METRICS.md can be held
-// to the code by a test. A registry belongs to one daemon, not to the process,
-// so that several daemons can run in one process on the bench.
+// Package metrics keeps the metrics of one instance as expvar variables. Each
+// metric is defined once, with its unit and meaning, so that a test can compare
+// docs/METRICS.md with the code. A registry belongs to one daemon, not to the
+// process, so that several daemons can run in one process in tests.
 package metrics
 
 import (
@@ -24,7 +24,9 @@
 	definitions   = make(map[string]Definition)
 )
 
-// Define adds a metric to the catalogue. Use it for package-level variables.
+// Define adds a metric to the catalogue and returns its definition. Call it
+// only to initialise package-level variables: it panics if the name is already
+// defined.
 func Define(name, unit, meaning string) Definition {
 	definitionsMu.Lock()
 	defer definitionsMu.Unlock()
@@ -36,7 +38,7 @@
 	return d
 }
 
-// All returns the catalogue by name.
+// All returns all definitions, sorted by name.
 func All() []Definition {
 	definitionsMu.RLock()
 	defer definitionsMu.RUnlock()
@@ -59,13 +61,13 @@
 	return &Registry{vars: make(map[string]expvar.Var)}
 }
 
-// Counter returns the counter or gauge of the definition, made at first use. A
-// nil registry returns one that nobody reads.
+// Counter returns the counter or gauge of the definition, which is created at
+// its first use. A nil registry returns a new one that is not published.
 func (r *Registry) Counter(d Definition) *expvar.Int {
 	return variable(r, d, func() *expvar.Int { return new(expvar.Int) })
 }
 
-// Labelled returns the counters of the definition by label.
+// Labelled returns the counters of the definition, keyed by label.
 func (r *Registry) Labelled(d Definition) *expvar.Map {
 	return variable(r, d, func() *expvar.Map { return new(expvar.Map).Init() })
 }
@@ -89,7 +91,7 @@
 	return v
 }
 
-// Value returns the current JSON value of a metric, "" if it has none.
+// Value returns the current JSON value of a metric, or "" if it has none.
 func (r *Registry) Value(d Definition) string {
 	r.mu.Lock()
 	v := r.vars[d.Name]
