--- a/internal/logsink/logsink.go
+++ b/internal/logsink/logsink.go
@@ -1,17 +1,18 @@
-// Package logsink stands between the logger and the output. It takes lines
-// without ever waiting for the output, within a bound of memory and a bound of
-// bytes a second, and says in the log itself how many lines are missing.
+// Package logsink buffers log lines between the logger and the output. It
+// accepts lines without ever waiting for the output, limits the memory and the
+// bytes per second that they use, and reports in the log itself how many lines
+// were dropped.
 //
-// What can go wrong without it: the reader of the log stops reading (a full
-// disk, a collector that hangs), and every request waits in the call that
-// writes its line; or a fault repeats on every request, and the processor
-// writes lines instead of serving. One notices the first by requests that all
-// stop at once, the second by latencies that grow with the log. Here a line is
-// copied into a ring and one goroutine alone waits for the output. When the
-// ring is full lines are left out, so the log is incomplete, but never
-// silently: event.LogLinesLeftOut counts them.
+// It prevents two faults. If the reader of the log stops reading (a full disk, a
+// collector that hangs), every request would block in the call that writes its
+// line; the symptom is that all requests stop at once. If an error repeats on
+// every request, the processor would write lines instead of serving requests;
+// the symptom is latencies that grow with the log. Here a line is copied into a
+// ring buffer, and only one goroutine waits for the output. When the ring is
+// full, lines are dropped, so the log is incomplete, but never silently:
+// event.LogLinesLeftOut counts them.
 //
-// A process that crashes loses the lines that it has taken and not yet
+// A process that crashes loses the lines that it has accepted and not yet
 // written, usually those of the last millisecond.
 package logsink
 
@@ -35,33 +36,35 @@
 )
 
 const (
-	// chunkBytes is about how much is handed to the output in one call.
+	// chunkBytes is about how much is written to the output in one call.
 	chunkBytes = 32 << 10
-	// noteEvery is the least time between two notes of lines left out: a storm
-	// would otherwise write one beside each line that passes.
-	noteEvery = time.Second
+	// noteInterval is the minimum time between two notes, the lines that report
+	// how many lines were dropped. Without it a burst of lines would produce one
+	// note for each line that is not dropped.
+	noteInterval = time.Second
 )
 
 // Options configure a Sink. Zero values mean the defaults.
 type Options struct {
-	Bytes int // bound of the lines that wait for the output
-	Rate  int // bytes a second, on average, above which debug and info lines are left out
-	Burst int // bytes that may come at once within the rate
-	// Notes makes the logger of the lines that say how many are missing, in the
-	// format of the log and without a filter of levels. Without it none is said.
+	Bytes int // maximum size of the buffered lines
+	Rate  int // average bytes per second above which debug and info lines are dropped
+	Burst int // bytes that may arrive at once without exceeding the rate
+	// Notes returns the logger for the lines that report how many lines were
+	// dropped; it uses the format of the log and does not filter levels. If Notes
+	// is nil, dropped lines are not reported.
 	Notes func(io.Writer) *event.Logger
 }
 
-// leftOut counts lines that were left out, by reason.
-type leftOut struct {
+// dropCounts counts dropped lines by reason. first is the time of the first.
+type dropCounts struct {
 	full, rate, failed int
 	first              time.Time
 }
 
-func (l *leftOut) any() bool { return l.full+l.rate+l.failed > 0 }
+func (l *dropCounts) any() bool { return l.full+l.rate+l.failed > 0 }
 
-// count adds n lines to one of its own counters.
-func (l *leftOut) count(reason *int, n int, now time.Time) {
+// count adds n lines to reason, which points to one of the counters of l.
+func (l *dropCounts) count(reason *int, n int, now time.Time) {
 	if n == 0 {
 		return
 	}
@@ -73,28 +76,28 @@
 
 // Sink is an io.Writer that never waits for its output.
 type Sink struct {
-	out   io.Writer
-	wake  chan struct{} // holds one token when the drainer has something to look at
-	ended chan struct{} // closed by Close
-	end   sync.Once
+	out       io.Writer
+	wake      chan struct{} // holds one token when the drain goroutine has something to check
+	done      chan struct{} // closed by Close
+	closeOnce sync.Once
 
 	mu      sync.Mutex // guards all below
 	ring    ring
-	limiter *rate.Limiter // warnings over the rate make no debt: it would silence the rest for long
-	left    leftOut
-	noted   time.Time // when the last note was made
+	limiter *rate.Limiter // warnings over the rate consume no tokens: a debt would suppress other lines for long
+	dropped dropCounts
+	noted   time.Time // when the last note was enqueued
 	failing bool      // the last write to the output failed
 	flushes []chan struct{}
 	notes   *event.Logger
-	note    bytes.Buffer // what notes writes to
+	note    bytes.Buffer // buffer that notes writes to
 }
 
-// New returns a sink that writes to out, and starts its goroutine.
+// New returns a sink that writes to out, and starts its drain goroutine.
 func New(out io.Writer, o Options) *Sink {
 	s := &Sink{
 		out:     out,
 		wake:    make(chan struct{}, 1),
-		ended:   make(chan struct{}),
+		done:    make(chan struct{}),
 		ring:    newRing(orDefault(o.Bytes, DefaultBytes)),
 		limiter: rate.NewLimiter(rate.Limit(orDefault(o.Rate, DefaultRate)), orDefault(o.Burst, DefaultBurst)),
 	}
@@ -105,41 +108,42 @@
 	return s
 }
 
-func orDefault(n, otherwise int) int {
+func orDefault(n, fallback int) int {
 	if n == 0 {
-		return otherwise
+		return fallback
 	}
 	return n
 }
 
-// Write takes one whole line, which ends with a newline, or leaves it out. It
-// never waits for the output and reports no error: a logger can do nothing
-// about one.
+// Write buffers or drops one whole line, which ends with a newline. It never
+// waits for the output and always returns len(line) and nil, since a logger
+// cannot handle an error.
 func (s *Sink) Write(line []byte) (int, error) {
-	if s.take(line) {
+	if s.enqueue(line) {
 		s.signal()
 	}
 	return len(line), nil
 }
 
-// take reports whether the drainer must be told.
-func (s *Sink) take(line []byte) bool {
+// enqueue buffers or drops the line and reports whether the drain goroutine must
+// be woken.
+func (s *Sink) enqueue(line []byte) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	idle := s.ring.size == 0 && !s.left.any()
+	idle := s.ring.size == 0 && !s.dropped.any()
 	switch {
 	case !s.limiter.AllowN(now, len(line)) && droppable(line):
-		s.left.count(&s.left.rate, 1, now)
+		s.dropped.count(&s.dropped.rate, 1, now)
 	case !s.ring.put(line):
-		s.left.count(&s.left.full, 1, now)
+		s.dropped.count(&s.dropped.full, 1, now)
 	case s.ring.size == len(line):
-		return true // the drainer may wait for the time of a note
+		return true // the drain goroutine may be waiting until a note is due
 	}
 	return idle
 }
 
-// signal tells the drainer to look. It may find that nothing is left to do.
+// signal wakes the drain goroutine, which may find that there is nothing to do.
 func (s *Sink) signal() {
 	select {
 	case s.wake <- struct{}{}:
@@ -147,9 +151,10 @@
 	}
 }
 
-// Flush returns when all lines are with the output, or failed there, and a note
-// has said what was left out, or with ctx's error. It is for the end of the process: while
-// others go on writing it may find no end.
+// Flush returns nil when all lines have been written to the output, or have
+// failed there, and a note has reported the dropped ones; it returns ctx's error
+// if ctx ends first. It is meant for the end of the process: while others
+// continue to write, it may not finish.
 func (s *Sink) Flush(ctx context.Context) error {
 	done := make(chan struct{})
 	s.mu.Lock()
@@ -164,35 +169,36 @@
 	}
 }
 
-// Close ends the goroutine once the output has taken what it was given. Lines
-// that wait, and lines that come later, are not written.
-func (s *Sink) Close() { s.end.Do(func() { close(s.ended) }) }
+// Close stops the drain goroutine once the current write to the output has
+// returned. Lines still buffered, and lines that arrive later, are not written.
+func (s *Sink) Close() { s.closeOnce.Do(func() { close(s.done) }) }
 
-// drain hands lines to the output until Close.
+// drain writes lines to the output until Close.
 func (s *Sink) drain() {
 	scratch := make([]byte, chunkBytes)
 	for !s.closed() {
 		chunk, pause := s.next(scratch)
 		if len(chunk) == 0 {
-			s.rest(pause)
+			s.waitForWork(pause)
 			continue
 		}
 		n, err := s.out.Write(chunk)
-		s.wrote(chunk[n:], err)
+		s.recordWrite(chunk[n:], err)
 	}
 }
 
 func (s *Sink) closed() bool {
 	select {
-	case <-s.ended:
+	case <-s.done:
 		return true
 	default:
 		return false
 	}
 }
 
-// rest waits until there is something to look at. A pause of 0 has no end.
-func (s *Sink) rest(pause time.Duration) {
+// waitForWork waits for a signal, for Close, or until the pause has passed. A
+// pause of 0 is unlimited.
+func (s *Sink) waitForWork(pause time.Duration) {
 	var due <-chan time.Time
 	if pause > 0 {
 		timer := time.NewTimer(pause)
@@ -202,13 +208,13 @@
 	select {
 	case <-s.wake:
 	case <-due:
-	case <-s.ended:
+	case <-s.done:
 	}
 }
 
-// next takes whole lines out of the ring, as many as fit into scratch. The
-// room that this makes is offered to a note first, so that the note stands
-// where the lines are missing. Without lines it returns how long to rest.
+// next removes whole lines from the ring, as many as fit into scratch. A note
+// that is due gets the freed space first, so that it appears where the lines are
+// missing. If there are no lines, next returns how long to wait.
 func (s *Sink) next(scratch []byte) ([]byte, time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -226,44 +232,45 @@
 	return chunk, wait
 }
 
-// untilNote returns whether a note is due, and else how long until one is: 0
-// if none is to come. While the output fails none is made: it would be lost,
-// count as a lost line, and so call for another one for ever.
+// untilNote returns whether a note is due, and otherwise how long until one is:
+// 0 if none is pending. No note is written while the output fails: it would be
+// lost, be counted as a lost line, and so cause the next note, endlessly.
 func (s *Sink) untilNote(now time.Time) (wait time.Duration, due bool) {
-	if !s.left.any() || s.failing || s.notes == nil {
+	if !s.dropped.any() || s.failing || s.notes == nil {
 		return 0, false
 	}
 	since := s.noted
-	if s.left.full+s.left.failed == 0 {
-		since = s.left.first // a bound of bytes a second is passed for a while: count that while
+	if s.dropped.full+s.dropped.failed == 0 {
+		since = s.dropped.first // the rate is usually exceeded for a while: count over a whole interval
 	}
-	wait = since.Add(noteEvery).Sub(now)
+	wait = since.Add(noteInterval).Sub(now)
 	if wait <= 0 || len(s.flushes) > 0 {
 		return 0, true
 	}
 	return wait, false
 }
 
-// putNote says what was left out. A note that finds no room is made again
-// when there is more.
+// putNote enqueues a note with the counts of dropped lines. If the ring has no
+// room for it, the counts stay for a later attempt.
 func (s *Sink) putNote() {
 	now := time.Now()
 	s.note.Reset()
-	s.notes.Log(event.LogLinesLeftOut, "full", s.left.full, "rate", s.left.rate, "failed", s.left.failed,
-		"for_ms", now.Sub(s.left.first).Milliseconds())
+	s.notes.Log(event.LogLinesLeftOut, "full", s.dropped.full, "rate", s.dropped.rate, "failed", s.dropped.failed,
+		"for_ms", now.Sub(s.dropped.first).Milliseconds())
 	if s.ring.put(s.note.Bytes()) {
-		s.left = leftOut{}
+		s.dropped = dropCounts{}
 		s.noted = now
 	}
 }
 
-// wrote takes in how a write ended and what of it is not out. That is not
-// tried again: an output that fails would hold up the lines behind for ever.
-func (s *Sink) wrote(rest []byte, err error) {
+// recordWrite records the result of a write and counts the lines in rest, which
+// were not written. They are not retried: an output that keeps failing would
+// block the lines behind them for ever.
+func (s *Sink) recordWrite(rest []byte, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.failing = err != nil
-	s.left.count(&s.left.failed, bytes.Count(rest, newline), time.Now())
+	s.dropped.count(&s.dropped.failed, bytes.Count(rest, newline), time.Now())
 }
 
 func (s *Sink) releaseFlushes() {
@@ -275,8 +282,9 @@
 
 var newline = []byte{'\n'}
 
-// droppableMarks are what debug and info lines hold: at their beginning in
-// logfmt, anywhere in JSON, whose quotes within values are escaped.
+// droppablePrefixes and droppablePairs identify debug and info lines: by their
+// beginning in logfmt, and by a pair anywhere in a JSON line, since quotes within
+// JSON values are escaped.
 var (
 	droppablePrefixes = [][]byte{[]byte("level=info "), []byte("level=debug ")}
 	droppablePairs    = [][]byte{[]byte(`"level":"info"`), []byte(`"level":"debug"`)}
--- a/internal/logsink/logsink_test.go
+++ b/internal/logsink/logsink_test.go
@@ -21,7 +21,7 @@
 
 func logfmtNotes(w io.Writer) *event.Logger { return event.NewLogger(log.NewLogfmtLogger(w)) }
 
-// record is an output that takes everything at once, unless it is told to fail.
+// record is an output that accepts every write at once, unless it is set to fail.
 type record struct {
 	mu    sync.Mutex
 	text  bytes.Buffer
@@ -79,7 +79,7 @@
 	}
 }
 
-// expect compares lines with the numbers first to last.
+// expect checks that got are the lines with the numbers first to last.
 func expect(t *testing.T, got []string, first, last int) {
 	t.Helper()
 	if len(got) != last-first+1 {
@@ -92,12 +92,12 @@
 	}
 }
 
-func TestLinesKeepTheirOrderAndComeByThemselves(t *testing.T) {
+func TestLinesAreWrittenInOrderWithoutFlush(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		out := new(record)
 		s := New(out, Options{Notes: logfmtNotes})
 		defer s.Close()
-		for n := range 2000 { // many times around scratch
+		for n := range 2000 { // more bytes than fit into scratch
 			put(t, s, line("info", n))
 			if n%100 == 0 {
 				synctest.Wait()
@@ -108,15 +108,15 @@
 	})
 }
 
-// Symptom: all requests of an instance stood still while its disk was full.
-// Cause: each waited in the call that wrote its line.
-func TestAReaderThatStopsBlocksNoWriter(t *testing.T) {
+// Guards against requests that all block while the instance's disk is full,
+// because each waits in the call that writes its log line.
+func TestStalledReaderBlocksNoWriter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const each, room = 27, 100
 		reader, writer := io.Pipe()
 		s := New(writer, Options{Bytes: room * each, Notes: logfmtNotes})
 		defer s.Close()
-		put(t, s, line("error", 0)) // the output holds this one
+		put(t, s, line("error", 0)) // the output blocks in this one
 		synctest.Wait()
 		begin := time.Now()
 		for n := 1; n <= room+50; n++ {
@@ -167,7 +167,7 @@
 				if got := len(out.lines()); got != 12 {
 					t.Fatalf("%d lines passed, want 10 of level info and 2 above", got)
 				}
-				time.Sleep(noteEvery)
+				time.Sleep(noteInterval)
 				synctest.Wait()
 				got := out.lines()
 				if len(got) != 13 || !strings.Contains(got[12], "full=0 rate=31 failed=0 for_ms=1000") {
@@ -176,7 +176,7 @@
 				put(t, s, format("info", 0))
 				synctest.Wait()
 				if len(out.lines()) != 14 {
-					t.Fatal("a line is left out although the rate allows it again")
+					t.Fatal("a line is dropped although the rate allows it again")
 				}
 			})
 		})
@@ -201,7 +201,7 @@
 	})
 }
 
-func TestAStormHasOneNoteASecond(t *testing.T) {
+func TestNotesAreLimitedToOneASecond(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		out := new(record)
 		s := New(out, Options{Rate: 1, Burst: 1, Notes: logfmtNotes})
@@ -251,9 +251,9 @@
 	})
 }
 
-// Symptom: an instance whose log's disk was full used a core. Cause: each note
-// of lost lines was lost itself, and called for another one.
-func TestAnOutputThatFailsIsCountedAndNotTriedForItsOwnSake(t *testing.T) {
+// Guards against an instance with a full log disk that uses a whole core,
+// because each note of lost lines is lost itself and causes another one.
+func TestFailedWritesAreCountedWithoutCausingMoreWrites(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		out := new(record)
 		s := New(out, Options{Notes: logfmtNotes})
@@ -297,7 +297,7 @@
 
 // The ring wraps around and grows while it holds lines.
 func TestRingKeepsTheOrderWhileItGrows(t *testing.T) {
-	const each, bound = 26, 5 * firstBytes
+	const each, bound = 26, 5 * initialBytes
 	r := newRing(bound)
 	scratch := make([]byte, 1000)
 	var got strings.Builder
@@ -332,20 +332,20 @@
 	}
 	group.Wait()
 	flush(t, s)
-	written, left := 0, 0
+	written, dropped := 0, 0
 	for _, l := range out.lines() {
 		var full int
 		if _, err := fmt.Sscanf(l, "level=warn event=4301 msg=log_lines_left_out full=%d rate=0 failed=0", &full); err == nil {
-			left += full
+			dropped += full
 			continue
 		}
 		if len(l)+1 != len(line("warn", 0)) {
-			t.Fatalf("a broken line: %q", l)
+			t.Fatalf("malformed line: %q", l)
 		}
 		written++
 	}
-	if written+left != writers*each {
-		t.Fatalf("%d lines written, %d said to be missing, of %d", written, left, writers*each)
+	if written+dropped != writers*each {
+		t.Fatalf("%d lines written, %d reported as dropped, of %d", written, dropped, writers*each)
 	}
 }
 
--- a/internal/logsink/ring.go
+++ b/internal/logsink/ring.go
@@ -2,22 +2,22 @@
 
 import "bytes"
 
-// firstBytes is how much a ring has at first. Most instances need no more.
-const firstBytes = 32 << 10
+// initialBytes is the initial size of a ring. Most instances need no more.
+const initialBytes = 32 << 10
 
-// ring holds bytes in the order in which they came.
+// ring is a growing FIFO buffer of bytes.
 type ring struct {
-	bound int // that buf may grow to
+	bound int // maximum length of buf
 	buf   []byte
-	head  int // of the oldest byte
-	size  int
+	head  int // index of the oldest byte
+	size  int // number of bytes held
 }
 
 func newRing(bound int) ring {
-	return ring{bound: bound, buf: make([]byte, min(bound, firstBytes))}
+	return ring{bound: bound, buf: make([]byte, min(bound, initialBytes))}
 }
 
-// put copies the line behind the others and reports whether it fitted.
+// put appends the line and reports whether there was room for it.
 func (r *ring) put(line []byte) bool {
 	need := r.size + len(line)
 	if need > r.bound {
@@ -33,8 +33,8 @@
 	return true
 }
 
-// grow makes room for need bytes at least, and doubles so that it happens
-// seldom.
+// grow makes room for at least need bytes. It doubles the size, up to bound, so
+// that it runs rarely.
 func (r *ring) grow(need int) {
 	buf := make([]byte, min(r.bound, max(need, 2*len(r.buf))))
 	n := copy(buf[:r.size], r.buf[r.head:])
@@ -42,9 +42,9 @@
 	r.buf, r.head = buf, 0
 }
 
-// take moves the oldest lines into scratch and returns them: whole lines, so
-// that a line is not cut in two by the output's other end, unless the first
-// one alone exceeds scratch.
+// take moves the oldest lines into scratch and returns them. It returns whole
+// lines, so that the reader of the output does not see a line cut in two, unless
+// the first line alone exceeds scratch.
 func (r *ring) take(scratch []byte) []byte {
 	chunk := scratch[:min(len(scratch), r.size)]
 	n := copy(chunk, r.buf[r.head:])
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,7 +1,7 @@
 // Package metrics keeps the metrics of one instance as expvar variables. Each
 // metric is defined once, with its unit and meaning, so that a test can compare
 // docs/METRICS.md with the code. A registry belongs to one daemon, not to the
-// process, so that several daemons can run in one process in tests.
+// process, so that several daemons can run in one process, as in package bench.
 package metrics
 
 import (
