--- a/internal/slo/bench_test.go
+++ b/internal/slo/bench_test.go
@@ -14,7 +14,7 @@
 	"lynxhill.example/lynxhill/internal/wire/lynxapi"
 )
 
-// benchSample is a request of four stages.
+// benchSample returns the sample of a request with four stages.
 func benchSample(i, organisations int) Sample {
 	s := Sample{
 		Profile:      fmt.Sprintf("profile-%d", i%9),
@@ -56,7 +56,7 @@
 	}
 }
 
-// BenchmarkMemory reports what a tracker holds after 40,000 requests.
+// BenchmarkMemory reports the heap that a tracker uses after 40,000 requests.
 func BenchmarkMemory(b *testing.B) {
 	for _, organisations := range []int{5, 100, 1000, 19000} {
 		b.Run(fmt.Sprintf("organisations=%d", organisations), func(b *testing.B) {
@@ -104,8 +104,7 @@
 	}
 }
 
-// BenchmarkDigest is one heartbeat to each of 369 others, every second peer
-// having been told a minute ago.
+// BenchmarkDigest fills the heartbeats to 369 other instances in turn.
 func BenchmarkDigest(b *testing.B) {
 	tracker := benchTracker(19000, 40000)
 	used := 0
@@ -116,7 +115,8 @@
 	b.ReportMetric(float64(used), "B/digest")
 }
 
-// BenchmarkFleetMemory reports what is held of 369 other instances.
+// BenchmarkFleetMemory reports the heap used for the counts of 369 other
+// instances.
 func BenchmarkFleetMemory(b *testing.B) {
 	held := 0.0
 	for b.Loop() {
--- a/internal/slo/cell.go
+++ b/internal/slo/cell.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// Steps of the rings.
+// Numbers and length of the steps of the rings.
 const (
-	countSteps        = 60 // of the long window: a minute each by default
-	sketchSteps       = 12 // of the long window, for profiles and places
-	organisationSteps = 2  // of the long window, for the times of organisations
+	countSteps        = 60 // per long window: a minute each by default
+	sketchSteps       = 12 // per long window, for profiles and availability zones
+	organisationSteps = 2  // per long window, for the latencies of organisations
 	fineStep          = time.Second
-	fineSteps         = 300 // seconds that a young series shows
-	causeSteps        = 12  // of the long window
+	fineSteps         = 300 // number of one-second steps that are kept
+	causeSteps        = 12  // per long window
 )
 
-// cell is the counts and times of one profile, place or organisation.
+// cell holds the counts and latencies of one profile, zone or organisation.
 type cell struct {
 	counts *ring[counts]
 	times  *ring[sketches]
@@ -33,7 +33,7 @@
 	c.times.at(now).observe(o)
 }
 
-// timesOf merges the sketches of the window.
+// timesOf merges the latency sketches of the window that ends now.
 func (c *cell) timesOf(now time.Time, window time.Duration) sketches {
 	var all sketches
 	c.times.each(now, window, func(_ time.Time, s *sketches) { all.merge(*s) })
--- a/internal/slo/fleet.go
+++ b/internal/slo/fleet.go
@@ -9,19 +9,20 @@
 	"lynxhill.example/lynxhill/internal/gossip"
 )
 
-// Bounds of what is known of other instances. At 370 instances with 9
-// profiles there are 3,330 cells of 61 windows.
+// Limits on the data kept about other instances, and sizes of digests. With
+// 370 instances and 9 profiles there are 3,330 cells of 61 windows.
 const (
 	maxFleetCells = 8192
-	// fleetOverlap is how many windows a digest repeats: the newest is still
-	// growing, and a lost heartbeat would otherwise lose the one before.
-	fleetOverlap = 2
+	// repeatedWindows is how many windows a digest repeats: the counts of the
+	// newest window still grow, and without the repeat a lost heartbeat would
+	// lose the window before it.
+	repeatedWindows = 2
 	// burnRowBytes is the estimated size of a row without its profile's name.
 	burnRowBytes = 20
 )
 
-// FleetRow is the attainment of a profile over all instances, as far as their
-// heartbeats have told.
+// FleetRow is the attainment of a profile over all instances, computed from
+// the heartbeats received so far.
 type FleetRow struct {
 	Profile    string  `json:"profile"`
 	Objective  float64 `json:"objective"`
@@ -30,19 +31,19 @@
 	Attainment float64 `json:"attainment"`
 	BurnShort  float64 `json:"burn_short"`
 	BurnLong   float64 `json:"burn_long"`
-	Instances  int     `json:"instances"` // that have told of the profile, this one included
+	Instances  int     `json:"instances"` // that reported the profile, this one included
 }
 
-// fleet is the tracker's share of the heartbeats. Each instance tells its own
-// absolute counts by minute, so a digest that comes twice or out of order
-// changes nothing, and no instance passes on what another said.
+// fleet is the tracker's part of the heartbeats. Each instance sends its own
+// absolute counts per window (a minute by default), so digests are idempotent
+// and may arrive out of order. Instances do not relay the counts of others.
 type fleet struct {
 	tracker *Tracker
 	dropped *expvar.Int
 
-	mu    sync.Mutex // guards cells and told
-	cells map[fleetKey]*ring[fleetCounts]
-	told  map[string]int64 // newest window sent, by receiver
+	mu       sync.Mutex // guards cells and lastSent
+	cells    map[fleetKey]*ring[fleetCounts]
+	lastSent map[string]int64 // start of the newest window sent (Unix seconds), by receiver
 }
 
 type fleetKey struct {
@@ -57,27 +58,27 @@
 
 func newFleet(t *Tracker, dropped *expvar.Int) *fleet {
 	return &fleet{
-		tracker: t,
-		dropped: dropped,
-		cells:   make(map[fleetKey]*ring[fleetCounts]),
-		told:    make(map[string]int64),
+		tracker:  t,
+		dropped:  dropped,
+		cells:    make(map[fleetKey]*ring[fleetCounts]),
+		lastSent: make(map[string]int64),
 	}
 }
 
 // Gossip returns the tracker's part of the heartbeats.
 func (t *Tracker) Gossip() gossip.Part { return t.fleet }
 
-// Fill implements gossip.Part: it adds this instance's counts of the windows
-// that the receiver has not been told, newest first.
+// Fill implements gossip.Part. It adds this instance's counts of the windows
+// that have not been sent to the receiver yet, newest first.
 func (f *fleet) Fill(digest *gossip.Digest, to string, budget int) int {
 	now := f.tracker.clock.Now()
 	rows := f.tracker.ownBurn(now)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if len(f.told) > maxFleetCells {
-		clear(f.told) // receivers that left; the cost is one full digest each
+	if len(f.lastSent) > maxFleetCells {
+		clear(f.lastSent) // removes receivers that left; the others get one full digest each
 	}
-	since := f.told[to] - int64(fleetOverlap*f.step()/time.Second)
+	since := f.lastSent[to] - int64(repeatedWindows*f.step()/time.Second)
 	used := 0
 	for _, row := range rows {
 		size := burnRowBytes + len(row.Profile)
@@ -86,7 +87,7 @@
 		}
 		used += size
 		digest.Burn = append(digest.Burn, row)
-		f.told[to] = max(f.told[to], row.Window)
+		f.lastSent[to] = max(f.lastSent[to], row.Window)
 	}
 	return used
 }
@@ -107,12 +108,12 @@
 func (f *fleet) absorb(now time.Time, key fleetKey, row gossip.Burn) {
 	at := time.Unix(row.Window, 0)
 	if age := now.Sub(at); age > f.tracker.windows.Long+f.step() || age < -f.step() {
-		return // too old to matter, or from a clock that is wrong
+		return // expired, or from an instance whose clock is wrong
 	}
 	cell := f.cells[key]
 	if cell == nil {
 		if len(f.cells) >= maxFleetCells {
-			f.forgetSilent(now)
+			f.deleteIdleCells(now)
 		}
 		if len(f.cells) >= maxFleetCells {
 			f.dropped.Add(1)
@@ -122,17 +123,17 @@
 		f.cells[key] = cell
 	}
 	counts := cell.at(at)
-	if row.Total >= counts.total { // a late digest must not take counts back
+	if row.Total >= counts.total { // a delayed digest must not lower the counts
 		*counts = fleetCounts{total: row.Total, missed: row.Missed}
 	}
 }
 
-// step is the length of a window of the digests. All instances have the same,
-// since it follows from the long burn window.
+// step returns the length of one window of a digest. It is derived from the
+// long burn window, so it is the same on all instances.
 func (f *fleet) step() time.Duration { return f.tracker.windows.Long / countSteps }
 
-// forgetSilent frees the cells without a count in the long window.
-func (f *fleet) forgetSilent(now time.Time) {
+// deleteIdleCells deletes the cells without requests in the long window.
+func (f *fleet) deleteIdleCells(now time.Time) {
 	for key, cell := range f.cells {
 		if sum := sumFleet(cell, now, f.tracker.windows.Long); sum.total == 0 {
 			delete(f.cells, key)
@@ -149,7 +150,7 @@
 	return sum
 }
 
-// ownBurn lists this instance's counts by profile and minute, newest first.
+// ownBurn returns this instance's counts by profile and window, newest first.
 func (t *Tracker) ownBurn(now time.Time) []gossip.Burn {
 	var rows []gossip.Burn
 	for i := range t.profiles {
@@ -180,9 +181,10 @@
 	return rows
 }
 
-// Fleet returns the attainment of every profile over all instances that this
-// one has heard of, by name. It is a little behind and leaves out what was
-// lost on the way; Merge of the instances' reports is exact.
+// Fleet returns the attainment of every profile over all instances whose
+// heartbeats this one has received, sorted by profile. The figures may lag
+// behind, and lack the counts of lost digests; Merge of the instances' reports
+// is exact.
 func (t *Tracker) Fleet() []FleetRow {
 	now := t.clock.Now()
 	rows := make(map[string]*fleetSums)
@@ -201,7 +203,7 @@
 	return all
 }
 
-// fleetSums are the counts of a profile over both windows.
+// fleetSums are the counts of a profile over the short and the long window.
 type fleetSums struct {
 	short     fleetCounts
 	long      fleetCounts
--- a/internal/slo/fleet_test.go
+++ b/internal/slo/fleet_test.go
@@ -16,16 +16,16 @@
 	"lynxhill.example/lynxhill/internal/gossip"
 )
 
-const wideBudget = 1 << 20
+const largeBudget = 1 << 20
 
-func tell(from, to *Tracker) gossip.Digest {
+func sendDigest(from, to *Tracker) gossip.Digest {
 	digest := gossip.Digest{From: from.instance}
-	from.Gossip().Fill(&digest, to.instance, wideBudget)
+	from.Gossip().Fill(&digest, to.instance, largeBudget)
 	to.Gossip().Absorb(digest)
 	return digest
 }
 
-func TestFleetKnowsEveryInstance(t *testing.T) {
+func TestFleetSumsAllInstances(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a, b := newTracker("a"), newTracker("b")
 		for range 30 {
@@ -33,9 +33,9 @@
 			b.Observe(failed("check", "agency", errkind.NoTarget))
 			time.Sleep(10 * time.Second)
 		}
-		digest := tell(b, a)
-		a.Gossip().Absorb(digest) // a digest that comes twice counts once
-		tell(b, a)
+		digest := sendDigest(b, a)
+		a.Gossip().Absorb(digest) // a duplicate digest is counted once
+		sendDigest(b, a)
 		row := a.Fleet()[0]
 		if row.Total != 60 || row.Missed != 30 || row.Instances != 2 {
 			t.Fatalf("%+v", row)
@@ -44,18 +44,18 @@
 	})
 }
 
-func TestFleetDigestTellsOnlyWhatIsNew(t *testing.T) {
+func TestFleetDigestHasOnlyNewRows(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a, b := newTracker("a"), newTracker("b")
 		for range 30 {
 			b.Observe(answered("check", "agency", time.Second))
 			time.Sleep(time.Minute)
 		}
-		if first := tell(b, a); len(first.Burn) != 30 {
+		if first := sendDigest(b, a); len(first.Burn) != 30 {
 			t.Fatalf("first digest has %d rows", len(first.Burn))
 		}
 		b.Observe(answered("check", "agency", time.Second))
-		if second := tell(b, a); len(second.Burn) > 1+fleetOverlap+1 {
+		if second := sendDigest(b, a); len(second.Burn) > 1+repeatedWindows+1 {
 			t.Fatalf("second digest has %d rows", len(second.Burn))
 		}
 		if total := a.Fleet()[0].Total; total != 31 {
@@ -80,10 +80,10 @@
 	})
 }
 
-// Symptom: after an overload had gone, the fleet's counts of a minute fell.
-// Events: a digest was delayed and came after a newer one of the same minute.
-// Cause: the last digest to arrive won, not the one with the higher count.
-func TestLateDigestTakesNothingBack(t *testing.T) {
+// Guards against counts of the fleet that fall after an overload: a delayed
+// digest arrived after a newer one of the same minute, and the last one to
+// arrive was kept instead of the one with the higher count.
+func TestLateDigestDoesNotLowerCounts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a := newTracker("a")
 		minute := time.Now().Unix() / 60 * 60
--- a/internal/slo/local.go
+++ b/internal/slo/local.go
@@ -7,22 +7,22 @@
 	"lynxhill.example/lynxhill/internal/wire/lynxapi"
 )
 
-// Scopes of a row.
+// Scopes of a report row.
 const (
 	ScopeProfile      = "profile"
 	ScopePlace        = "place"
 	ScopeOrganisation = "organisation"
 )
 
-// Bounds of a report.
+// Limits on the length of a report's lists.
 const (
 	maxReportOrganisations = 100
 	maxReportCauses        = 100
 )
 
-// Local returns the report of this instance over the window that ends now; 0
-// and windows longer than the long one mean the long one. The times of a row
-// cover the window rounded up to the step of its sketches.
+// Local returns the report of this instance over the window that ends now. A
+// window of 0 or less, or longer than Windows.Long, means Windows.Long. The
+// quantiles of a row cover the window rounded up to the step of its sketches.
 func (t *Tracker) Local(window time.Duration) lynxapi.BurnReport {
 	if window <= 0 || window > t.windows.Long {
 		window = t.windows.Long
@@ -35,8 +35,8 @@
 	for i := range t.profiles {
 		t.addProfiles(&report, &t.profiles[i], now, window)
 	}
-	for i := range t.places {
-		t.addPlaces(&report, &t.places[i], now, window)
+	for i := range t.zones {
+		t.addZones(&report, &t.zones[i], now, window)
 	}
 	for i := range t.organisations {
 		t.addOrganisations(&report, &t.organisations[i], now, window)
@@ -57,7 +57,7 @@
 	}
 }
 
-func (t *Tracker) addPlaces(report *lynxapi.BurnReport, s *cellShard, now time.Time, window time.Duration) {
+func (t *Tracker) addZones(report *lynxapi.BurnReport, s *cellShard, now time.Time, window time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for name, c := range s.byName {
@@ -86,7 +86,7 @@
 		Total:         sum.total,
 		Attained:      sum.total - sum.missed,
 		Excluded:      sum.excluded,
-		Allowed:       sum.allowed,
+		Allowed:       sum.allowedMisses,
 		Short:         windowOf(sumOf(c.counts, now, t.windows.Short)),
 		Long:          windowOf(sumOf(c.counts, now, t.windows.Long)),
 		LatencySketch: encodeSketch(times.total),
@@ -95,11 +95,12 @@
 }
 
 func windowOf(c counts) lynxapi.BurnWindow {
-	return lynxapi.BurnWindow{Total: c.total, Missed: c.missed, Allowed: c.allowed}
+	return lynxapi.BurnWindow{Total: c.total, Missed: c.missed, Allowed: c.allowedMisses}
 }
 
-// seriesOf gives a point a minute, or a point a second while the instance is
-// so young that minutes would show nothing.
+// seriesOf returns one point per step of the count ring (a minute by default),
+// or one per second if the window or the instance's uptime is at most
+// fineStep * fineSteps, where longer steps would give too few points.
 func (t *Tracker) seriesOf(name string, c *profileCell, now time.Time, window time.Duration) lynxapi.BurnSeries {
 	r := c.counts
 	if fineWindow := fineStep * fineSteps; window <= fineWindow || now.Sub(t.started) <= fineWindow {
@@ -154,8 +155,8 @@
 	s.duration += other.duration
 }
 
-// finish adds up what stands twice, computes the derived figures, and sorts
-// and bounds the lists.
+// finish merges entries with the same key, computes the derived figures, and
+// sorts and truncates the lists.
 func finish(report lynxapi.BurnReport) lynxapi.BurnReport {
 	report.Rows = boundOrganisations(mergeRows(report.Rows))
 	report.Causes = mergeCauses(report.Causes)
@@ -190,8 +191,8 @@
 	row.FirstP95MS = quantile(decodeSketch(row.FirstSketch), 0.95)
 }
 
-// burnOf is the error rate as a multiple of the one that the objective allows:
-// at 1 the budget lasts exactly as long as the window it is meant for.
+// burnOf returns the burn rate: the error rate as a multiple of the rate that
+// the objective allows. At 1 the error budget lasts exactly for its window.
 func burnOf(w lynxapi.BurnWindow) float64 {
 	if w.Allowed <= 0 {
 		return 0
--- a/internal/slo/merge.go
+++ b/internal/slo/merge.go
@@ -8,10 +8,11 @@
 	"lynxhill.example/lynxhill/internal/wire/lynxapi"
 )
 
-// Merge adds up the reports of several instances. Counts add exactly, and
-// quantiles come from the merged sketches, so that merging the parts gives the
-// same as one instance that had seen all. Merging merged reports is allowed.
-// Lists are bounded again, so beyond the bounds the least rows are in "other".
+// Merge combines the reports of several instances. Counts add up exactly, and
+// quantiles come from the merged sketches, so the result equals the report of
+// one instance that had counted all requests. Merged reports can be merged
+// again. The limits on the lists apply to the result too: the lowest-ranking
+// organisations beyond the limit are combined into the row "other".
 func Merge(reports []lynxapi.BurnReport) lynxapi.BurnReport {
 	var all lynxapi.BurnReport
 	for _, r := range reports {
@@ -41,7 +42,8 @@
 	name  string
 }
 
-// mergeBy adds rows with the same key up, in the order of their first ones.
+// mergeBy adds up rows with the same key. The result is in the order in which
+// the keys first occur.
 func mergeBy[K comparable, R any](rows []R, keyOf func(R) K, add func(sum *R, row R)) []R {
 	at := make(map[K]int, len(rows))
 	var merged []R
@@ -62,7 +64,8 @@
 	return mergeBy(rows, func(row lynxapi.BurnRow) rowKey { return rowKey{row.Scope, row.Name} }, addRow)
 }
 
-// addRow adds the counts and sketches of row to sum; finish derives the rest.
+// addRow adds the counts and sketches of row to sum; finish computes the
+// derived figures.
 func addRow(sum *lynxapi.BurnRow, row lynxapi.BurnRow) {
 	sum.Total += row.Total
 	sum.Attained += row.Attained
@@ -87,8 +90,8 @@
 	return encodeSketch(sum)
 }
 
-// boundOrganisations keeps the organisations with the most misses and
-// requests and adds up the rest under "other".
+// boundOrganisations keeps the organisations that sort first by misses and
+// then by requests, and combines the rest into the row "other".
 func boundOrganisations(rows []lynxapi.BurnRow) []lynxapi.BurnRow {
 	var organisations, kept []lynxapi.BurnRow
 	other := lynxapi.BurnRow{Scope: ScopeOrganisation, Name: NameOther}
@@ -116,11 +119,11 @@
 	return kept
 }
 
-// scopeOrder is the order of the scopes in a report.
+// scopeOrder is the sort order of the scopes in a report.
 var scopeOrder = map[string]int{ScopeProfile: 0, ScopePlace: 1, ScopeOrganisation: 2}
 
-// sortRows orders profiles and places by name, organisations by misses and
-// then requests, and "other" last.
+// sortRows sorts profiles and zones by name, and organisations by misses and
+// then by requests, both descending, with "other" last.
 func sortRows(rows []lynxapi.BurnRow) {
 	sort.Slice(rows, func(i, j int) bool { return rowBefore(rows[i], rows[j]) })
 }
@@ -205,8 +208,9 @@
 	return a.Provider < b.Provider
 }
 
-// mergeSeries adds the points of each profile up. A young instance sends
-// seconds and an old one minutes; the sum has the longer step.
+// mergeSeries adds up the points of each profile. A recently started instance
+// sends one-second steps and others one-minute steps; the sum has the longer
+// step.
 func mergeSeries(series []lynxapi.BurnSeries) []lynxapi.BurnSeries {
 	steps := make(map[string]float64)
 	for _, s := range series {
--- a/internal/slo/merge_test.go
+++ b/internal/slo/merge_test.go
@@ -24,7 +24,8 @@
 	sample   Sample
 }
 
-// randomSteps makes requests of few names, so that rows meet in the merge.
+// randomSteps generates requests with few distinct names, so that Merge has rows
+// with the same name to combine.
 func randomSteps(seed uint64, count int) []step {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	steps := make([]step, count)
@@ -44,8 +45,9 @@
 	return steps
 }
 
-// withoutReporter strips a report of what says who reported, and rounds floats whose
-// last bits depend on the order of addition.
+// withoutReporter clears the fields that identify the reporting instances and
+// the encoded sketches, and rounds floats whose last bits depend on the order
+// of addition.
 func withoutReporter(r lynxapi.BurnReport) lynxapi.BurnReport {
 	r.Instance, r.Instances = "", 0
 	for i := range r.Rows {
@@ -85,7 +87,7 @@
 			return ok
 		}
 	}
-	properties.Property("the parts merged equal the whole", prop.ForAll(inBubble(func(seed uint64, count int) bool {
+	properties.Property("merging the parts equals the whole", prop.ForAll(inBubble(func(seed uint64, count int) bool {
 		whole, parts := reportsOf(seed, count)
 		merged := Merge(parts)
 		return merged.Instances == 3 && reflect.DeepEqual(withoutReporter(merged), withoutReporter(Merge([]lynxapi.BurnReport{whole})))
--- a/internal/slo/organisations.go
+++ b/internal/slo/organisations.go
@@ -8,12 +8,13 @@
 )
 
 // organisationShard holds the organisations whose names hash to it, at most
-// twice limit. With 19,000 organisations a row for each would take 19,000
-// rings in each instance, for organisations that send a request an hour.
-// When the table is full the lesser half is folded into one row, "other"; the
-// half that stays are those with the most misses and those with the most
-// requests. An organisation that was folded and comes back starts anew, so its
-// row then counts too little; the sum over all rows stays exact.
+// twice limit of them. With 19,000 organisations, one row for each would take
+// 19,000 rings in each instance, for organisations that send one request an
+// hour. When the table is full, half of the rows are folded into one row,
+// "other"; the organisations with the most misses and those with the most
+// requests keep their rows. A folded organisation that sends requests again
+// gets a new row, which then counts too little; the sum over all rows stays
+// exact.
 type organisationShard struct {
 	limit   int
 	windows Windows
@@ -48,13 +49,13 @@
 	c.observe(now, o)
 }
 
-// ranked is an organisation with what it is ranked by.
+// ranked is an organisation with the counts by which it is ranked.
 type ranked struct {
 	name string
 	sum  counts
 }
 
-// trim keeps at most limit organisations.
+// trim keeps at most limit organisations and folds the others into other.
 func (s *organisationShard) trim(now time.Time) {
 	all := make([]ranked, 0, len(s.byName))
 	for name, c := range s.byName {
@@ -89,8 +90,8 @@
 	s.folded.Add(1)
 }
 
-// moreMisses and moreRequests order by name last, so that the order never
-// depends on the map.
+// moreMisses and moreRequests break ties by name, so that the order does not
+// depend on the iteration order of the map.
 func moreMisses(a, b ranked) bool {
 	if a.sum.missed != b.sum.missed {
 		return a.sum.missed > b.sum.missed
--- a/internal/slo/profiles.go
+++ b/internal/slo/profiles.go
@@ -8,18 +8,19 @@
 	"lynxhill.example/lynxhill/internal/pipeline"
 )
 
-// Names of causes that no errkind has.
+// Names that are not those of an error kind, stage or profile, and limits on
+// table sizes.
 const (
-	CauseLate   = "late"    // the whole answer came after the deadline
-	NameOther   = "other"   // what was folded together for room
-	NameUnknown = "unknown" // profiles that have answered nothing
-	maxCauses   = 256       // of one profile
-	maxCosts    = 256       // of one profile
-	maxProfiles = 64        // of one shard; more are folded into NameOther
+	CauseLate   = "late"    // cause: the answer was complete but came after the deadline
+	NameOther   = "other"   // row for everything beyond a table's limit
+	NameUnknown = "unknown" // row for rejected requests whose profile has no cell
+	maxCauses   = 256       // per profile
+	maxCosts    = 256       // per profile
+	maxProfiles = 64        // per shard; further ones are counted under NameOther
 )
 
-// profileCell adds to a cell what only profiles have: a series by second,
-// causes and costs.
+// profileCell is a cell with the additional data of a profile: counts in
+// one-second steps, causes of misses, and costs.
 type profileCell struct {
 	cell
 	fine   *ring[counts]
@@ -38,11 +39,12 @@
 	provider string
 }
 
-// costCell is what a stage cost at one provider.
+// costCell holds the costs of a stage at one provider.
 type costCell struct {
 	sums *ring[costSums]
-	// meanMS is the mean time of the stage since the start, by which a late
-	// request finds the stage that made it late.
+	// meanMS is the mean duration of the stage since the start, in
+	// milliseconds. For a late request, responsibleStage compares it with the
+	// durations of the stages.
 	meanMS float64
 	calls  float64
 }
@@ -68,16 +70,16 @@
 	c.observe(now, o)
 	c.fine.at(now).observe(o)
 	if o.missed {
-		c.blame(now, w, sample)
+		c.countCause(now, w, sample)
 	}
 	for _, stage := range sample.Stages {
 		c.addCost(now, w, stage)
 	}
 }
 
-// cell returns the cell of a profile. Requests that fail by the caller's own
-// doing may name any profile, even one that does not exist: they get no cell
-// of their own, or a caller could fill the memory with names.
+// cell returns the cell of a profile, creating it if needed. Excluded requests
+// may name a profile that does not exist, so they create no cell but that of
+// NameUnknown: otherwise a caller could exhaust memory with invented names.
 func (s *profileShard) cell(name string, w Windows, excluded bool) *profileCell {
 	if c := s.byName[name]; c != nil {
 		return c
@@ -101,14 +103,14 @@
 	return c
 }
 
-// blame counts the miss under the stage, target and kind of error that caused
+// countCause counts a miss under the stage, target and error kind that caused
 // it.
-func (c *profileCell) blame(now time.Time, w Windows, s Sample) {
+func (c *profileCell) countCause(now time.Time, w Windows, s Sample) {
 	key := causeKey{kind: CauseLate}
 	if s.Err != nil {
 		key.kind = errkind.Of(s.Err).String()
 	}
-	if stage, found := c.culprit(s.Stages); found {
+	if stage, found := c.responsibleStage(s.Stages); found {
 		key.stage, key.target = stage.Stage, stage.Target
 	}
 	r := c.causes[key]
@@ -127,7 +129,7 @@
 	*r.at(now)++
 }
 
-// dropIdleCauses frees the causes that have not occurred in the long window.
+// dropIdleCauses deletes the causes that have not occurred in the long window.
 func (c *profileCell) dropIdleCauses(now time.Time, w Windows) {
 	for key, r := range c.causes {
 		if sumUint(r, now, w.Long) == 0 {
@@ -136,10 +138,11 @@
 	}
 }
 
-// culprit returns the stage that failed, else the one that took the most time
-// beyond its usual. The longest stage alone would always be the generation,
-// also where a reranker that is usually quick stood still.
-func (c *profileCell) culprit(stages []pipeline.StageReport) (pipeline.StageReport, bool) {
+// responsibleStage returns the last stage that failed or, if none failed, the
+// stage that exceeded its mean duration by the most. Choosing the longest stage
+// instead would always blame generation, even if a usually fast reranker
+// stalled.
+func (c *profileCell) responsibleStage(stages []pipeline.StageReport) (pipeline.StageReport, bool) {
 	for i := len(stages) - 1; i >= 0; i-- {
 		if stages[i].Err != nil {
 			return stages[i], true
@@ -148,7 +151,7 @@
 	var worst pipeline.StageReport
 	worstExcess := 0.0
 	for i, stage := range stages {
-		excess := milliseconds(stage.Duration) - c.usualMS(stage)
+		excess := milliseconds(stage.Duration) - c.meanMS(stage)
 		if i == 0 || excess > worstExcess {
 			worst, worstExcess = stage, excess
 		}
@@ -156,7 +159,7 @@
 	return worst, len(stages) > 0
 }
 
-func (c *profileCell) usualMS(stage pipeline.StageReport) float64 {
+func (c *profileCell) meanMS(stage pipeline.StageReport) float64 {
 	cost := c.costs[costKey{stage.Stage, stage.Provider}]
 	if cost == nil {
 		return 0
--- a/internal/slo/sketch.go
+++ b/internal/slo/sketch.go
@@ -5,15 +5,16 @@
 	"github.com/DataDog/sketches-go/ddsketch/store"
 )
 
-// Accuracy of quantiles and bound of a sketch. From 1 ms to 10 s there are 461
-// bins of 1 % relative accuracy, so nothing collapses in practice; when
-// something does, it is the shortest times.
+// Accuracy of quantiles and size limit of a sketch. The range from 1 ms to 10 s
+// takes 461 bins at 1 % relative accuracy, so no bins are collapsed in practice;
+// if the limit is reached, the bins of the shortest times are collapsed first.
 const (
 	sketchAccuracy = 0.01
 	sketchMaxBins  = 1024
 )
 
-// sketches hold the times of one step, in milliseconds. A nil sketch is empty.
+// sketches hold the latencies of one step, in milliseconds: total until the end
+// of the answer, first until its first frame. A nil sketch is empty.
 type sketches struct {
 	total *ddsketch.DDSketch
 	first *ddsketch.DDSketch
@@ -37,13 +38,13 @@
 func newSketch() *ddsketch.DDSketch {
 	sketch, err := ddsketch.LogCollapsingLowestDenseDDSketch(sketchAccuracy, sketchMaxBins)
 	if err != nil {
-		panic(err) // only for an accuracy outside 0 to 1
+		panic(err) // only for an accuracy that is not between 0 and 1
 	}
 	return sketch
 }
 
-// addTo adds a value. A value that the sketch cannot hold (not a number) is
-// left out: it would be a defect of the clock, and no reason to lose the rest.
+// addTo adds a value. A value that the sketch rejects (not a number) is
+// dropped: it would come from a defective clock and must not affect the others.
 func addTo(sketch **ddsketch.DDSketch, value float64) {
 	if *sketch == nil {
 		*sketch = newSketch()
@@ -58,10 +59,10 @@
 	if *sketch == nil {
 		*sketch = newSketch()
 	}
-	_ = (*sketch).MergeWith(other) // fails only for other accuracies
+	_ = (*sketch).MergeWith(other) // fails only if the accuracies differ
 }
 
-// encodeSketch returns the serialised form, nil for an empty sketch.
+// encodeSketch serialises a sketch. It returns nil for an empty one.
 func encodeSketch(sketch *ddsketch.DDSketch) []byte {
 	if sketch == nil || sketch.IsEmpty() {
 		return nil
@@ -71,8 +72,9 @@
 	return out
 }
 
-// decodeSketch returns nil for an empty or damaged form: a peer of another
-// version then costs its quantiles, not the report.
+// decodeSketch parses a serialised sketch. It returns nil for empty, damaged or
+// incompatible data, so that with a peer of another version only that peer's
+// quantiles are lost, not the report.
 func decodeSketch(data []byte) *ddsketch.DDSketch {
 	if len(data) == 0 {
 		return nil
@@ -85,7 +87,7 @@
 	return sketch
 }
 
-// quantile returns 0 for an empty sketch.
+// quantile returns the value at quantile q, or 0 for an empty sketch.
 func quantile(sketch *ddsketch.DDSketch, q float64) float64 {
 	if sketch == nil || sketch.IsEmpty() {
 		return 0
--- a/internal/slo/slo.go
+++ b/internal/slo/slo.go
@@ -1,11 +1,11 @@
 // Package slo measures how well requests meet their deadlines against the
-// objective of their profile: attainment, what is left of the error budget,
-// how fast it burns, what burns it, and the cost of each stage by provider.
+// objective of their profile: attainment, remaining error budget, burn rate,
+// causes of misses, and the cost of each stage by provider.
 //
-// Each instance counts its own requests in bounded memory. Instances tell one
-// another their totals per profile with their heartbeats, so that each knows
-// the fleet's attainment; the full report merges the instances' local reports
-// on demand. Nothing is written to the platform.
+// Each instance counts its own requests in bounded memory. Instances exchange
+// their totals per profile in their heartbeats, so that each can compute the
+// fleet's attainment; the full report merges the instances' local reports on
+// demand. Nothing is written to the platform.
 package slo
 
 import (
@@ -31,24 +31,24 @@
 	DefaultObjective        = 0.99
 )
 
-// minLongWindow keeps a step of the count rings at a second or more: digests
-// name a step by whole seconds.
+// minLongWindow keeps a step of the count rings at a second or more, because
+// digests identify a step by its start in whole seconds.
 const minLongWindow = countSteps * time.Second
 
-// shardCount is the number of shards of each scope; requests of different
-// profiles and organisations then seldom wait for one another.
+// shardCount is the number of shards of each scope. Sharding reduces lock
+// contention between requests of different profiles and organisations.
 const shardCount = 16
 
 var (
 	metricRequests = metrics.Define("slo_requests_total", "requests", "Requests that count against an objective.")
 	metricMissed   = metrics.Define("slo_missed_total", "requests", "Requests that failed or were answered after their deadline.")
-	metricExcluded = metrics.Define("slo_excluded_total", "requests", "Failed requests that count against no objective, being the caller's own doing.")
+	metricExcluded = metrics.Define("slo_excluded_total", "requests", "Failed requests that do not count against an objective because the caller caused the failure.")
 	metricFolded   = metrics.Define("slo_organisations_folded_total", "organisations", "Times an organisation's counts were folded into \"other\" to bound memory.")
-	metricDropped  = metrics.Define("slo_fleet_rows_dropped_total", "rows", "Rows of other instances that were ignored because the table was full.")
-	metricFleet    = metrics.Define("slo_fleet_attainment", "share by profile", "Attainment of the whole fleet over the long window, as told by heartbeats.")
+	metricDropped  = metrics.Define("slo_fleet_rows_dropped_total", "rows", "Rows from other instances that were dropped because the table was full.")
+	metricFleet    = metrics.Define("slo_fleet_attainment", "share by profile", "Attainment of the whole fleet over the long window, computed from heartbeats.")
 )
 
-// Windows are the two windows over which burn is computed.
+// Windows are the two windows over which the burn rate is computed.
 type Windows struct {
 	Short time.Duration // default 5 minutes
 	Long  time.Duration // default 1 hour; also the longest window of a report
@@ -58,11 +58,11 @@
 type Options struct {
 	Clock clock.Clock
 	// Objectives returns the objective of a profile, a share such as 0.99, or
-	// 0 if it is unknown (DefaultObjective then holds).
+	// 0 if it is unknown (DefaultObjective then applies).
 	Objectives func(profile string) float64
 	Windows    Windows
-	// MaxOrganisations is how many organisations keep a row of their own; the
-	// table grows to twice as many between two trims.
+	// MaxOrganisations is how many organisations keep a row of their own after
+	// a trim; the table grows to twice as many between two trims.
 	MaxOrganisations int
 	Instance         string
 	Place            string
@@ -84,29 +84,28 @@
 	return o
 }
 
-// Sample is the end of one request.
+// Sample is the result of one finished request.
 type Sample struct {
 	Profile      string
 	Organisation string
 	Place        string // of the instance that answered; default Options.Place
-	// Attained says that the whole answer was delivered before the deadline.
+	// Attained reports whether the whole answer was delivered before the deadline.
 	Attained bool
-	// Err is why there was no whole answer; its errkind is the cause. Nil with
-	// Attained false means that the answer was whole but late.
+	// Err is why the answer is missing or incomplete; its errkind is the cause.
+	// Nil with Attained false means that the answer was complete but late.
 	Err        error
 	Total      time.Duration // from arrival to the end
 	FirstToken time.Duration // from arrival to the first frame; 0 if not streamed
 	Stages     []pipeline.StageReport
 }
 
-// Tracker counts the requests of one instance. All methods may be called at
-// once from several goroutines.
+// Tracker counts the requests of one instance. It is safe for concurrent use.
 type Tracker struct {
 	clock      clock.Clock
 	objectives func(string) float64
 	windows    Windows
 	instance   string
-	place      string
+	zone       string
 	started    time.Time
 	logger     *event.Logger
 
@@ -115,12 +114,12 @@
 	excluded *expvar.Int
 
 	profiles      [shardCount]profileShard
-	places        [shardCount]cellShard
+	zones         [shardCount]cellShard
 	organisations [shardCount]organisationShard
 	fleet         *fleet
 }
 
-// New returns a tracker without counts.
+// New returns an empty tracker.
 func New(opts Options) *Tracker {
 	opts = opts.withDefaults()
 	t := &Tracker{
@@ -128,7 +127,7 @@
 		objectives: opts.Objectives,
 		windows:    opts.Windows,
 		instance:   opts.Instance,
-		place:      opts.Place,
+		zone:       opts.Place,
 		started:    opts.Clock.Now(),
 		logger:     opts.Logger,
 		requests:   opts.Metrics.Counter(metricRequests),
@@ -140,43 +139,43 @@
 	perShard := max(1, opts.MaxOrganisations/shardCount)
 	for i := range shardCount {
 		t.profiles[i].byName = make(map[string]*profileCell)
-		t.places[i].byName = make(map[string]*cell)
+		t.zones[i].byName = make(map[string]*cell)
 		t.organisations[i] = newOrganisationShard(perShard, opts.Windows, folded)
 	}
 	opts.Metrics.Func(metricFleet, func() any { return t.fleetAttainment() })
 	return t
 }
 
-// Observe counts one request. It is called when the request has ended, also
-// when it was refused.
+// Observe counts one request. It is called once per request, when the request
+// has ended; rejected requests are observed too.
 func (t *Tracker) Observe(s Sample) {
 	now := t.clock.Now()
-	defaults.Set(&s.Place, t.place)
+	defaults.Set(&s.Place, t.zone)
 	o := t.observationOf(s)
 	t.count(o)
 	t.profiles[shardOf(s.Profile)].observe(now, t.windows, s, o)
-	t.places[shardOf(s.Place)].observe(now, t.windows, s.Place, o)
+	t.zones[shardOf(s.Place)].observe(now, t.windows, s.Place, o)
 	t.organisations[shardOf(s.Organisation)].observe(now, s.Organisation, o)
 }
 
 // observation is what one request adds to each cell.
 type observation struct {
-	excluded bool
-	missed   bool
-	answered bool    // a whole answer, so its times count
-	allowed  float64 // part of a miss that the objective allows for one request
-	cost     float64
-	totalMS  float64
-	firstMS  float64
+	excluded      bool
+	missed        bool
+	answered      bool    // the answer is complete, so its times count
+	allowedMisses float64 // fraction of a miss that the objective allows for one request
+	cost          float64
+	totalMS       float64
+	firstMS       float64
 }
 
 func (t *Tracker) observationOf(s Sample) observation {
 	o := observation{
-		excluded: s.Err != nil && callersOwnDoing(errkind.Of(s.Err)),
-		answered: s.Err == nil,
-		allowed:  1 - t.objective(s.Profile),
-		totalMS:  milliseconds(s.Total),
-		firstMS:  milliseconds(s.FirstToken),
+		excluded:      s.Err != nil && causedByClient(errkind.Of(s.Err)),
+		answered:      s.Err == nil,
+		allowedMisses: 1 - t.objective(s.Profile),
+		totalMS:       milliseconds(s.Total),
+		firstMS:       milliseconds(s.FirstToken),
 	}
 	o.missed = !o.excluded && !s.Attained
 	for _, stage := range s.Stages {
@@ -204,10 +203,10 @@
 	}
 }
 
-// callersOwnDoing reports whether a request of this kind of error says nothing
-// about the service: had it counted, one caller with a broken client would
-// spend the error budget of all.
-func callersOwnDoing(k errkind.Kind) bool {
+// causedByClient reports whether the caller caused an error of this kind, so
+// that it says nothing about the service. If such errors counted, one broken
+// client would spend the error budget of all callers.
+func causedByClient(k errkind.Kind) bool {
 	switch k {
 	case errkind.BadRequest, errkind.NoOrganisation, errkind.Unauthenticated, errkind.Forbidden,
 		errkind.UnknownProfile, errkind.UnknownKey, errkind.NotFound, errkind.TooLarge, errkind.DeadlinePast,
--- a/internal/slo/slo_test.go
+++ b/internal/slo/slo_test.go
@@ -82,7 +82,7 @@
 	})
 }
 
-func TestWindowsForget(t *testing.T) {
+func TestOldCountsLeaveTheWindows(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tracker := newTracker("a")
 		for range 10 {
@@ -94,7 +94,7 @@
 		}
 		row := rowNamed(t, tracker.Local(0), ScopeProfile, "check")
 		if row.BurnShort != 0 {
-			t.Fatalf("short burn %v after ten quiet minutes", row.BurnShort)
+			t.Fatalf("short burn %v after ten minutes without requests", row.BurnShort)
 		}
 		near(t, "long burn", row.BurnLong, 5, 0.001)
 		if recent := rowNamed(t, tracker.Local(time.Minute), ScopeProfile, "check"); recent.Total != 10 {
@@ -107,11 +107,11 @@
 	})
 }
 
-// Symptom: the report blamed generation for late answers while a reranker
-// stood still. Events: the reranker, usually 10 ms, took 400 ms; generation
-// took its usual 500 ms. Cause: the longest stage was blamed instead of the
-// one that took longer than it usually does.
-func TestLateAnswerBlamesTheStageBeyondItsUsual(t *testing.T) {
+// Guards against a late answer being attributed to the longest stage instead
+// of the one that exceeded its mean duration: a reranker that usually takes
+// 10 ms took 400 ms, and the report named generation, which took its usual
+// 500 ms.
+func TestLateAnswerIsAttributedToTheSlowedStage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tracker := newTracker("a")
 		stages := func(rerank time.Duration) []pipeline.StageReport {
@@ -147,9 +147,10 @@
 	})
 }
 
-// Symptom: an instance's memory grew with the number of organisations.
-// Events: 19,000 organisations sent a few requests each. Cause: each kept a
-// row. The heavy and the failing ones must stay, and nothing may go uncounted.
+// Guards against memory that grows with the number of organisations: 19,000
+// organisations sent a few requests each, and each kept a row. Organisations
+// with many requests or misses must keep their rows, and every request must be
+// counted.
 func TestManyOrganisationsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const organisations = 19000
@@ -190,10 +191,10 @@
 	})
 }
 
-// Symptom: the one organisation whose requests failed was missing from the
-// report. Events: it sent two requests, and hundreds of others sent more.
-// Cause: the table kept those with the most requests only.
-func TestTrimKeepsTheFailing(t *testing.T) {
+// Guards against a report without the one organisation whose requests failed:
+// it sent two requests, hundreds of others sent more, and only the
+// organisations with the most requests kept their rows.
+func TestTrimKeepsOrganisationsWithMisses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tracker := newTracker("a")
 		for range 2 {
@@ -210,9 +211,9 @@
 	})
 }
 
-// Symptom: memory grew while a broken client made up profile names. Cause: each
-// name got a row with all its rings.
-func TestMadeUpProfilesShareOneRow(t *testing.T) {
+// Guards against memory that grows while a broken client invents profile names:
+// each name got a row with all its rings.
+func TestUnknownProfilesShareOneRow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tracker := newTracker("a")
 		for i := range 5000 {
@@ -228,7 +229,7 @@
 	})
 }
 
-func TestSeriesBySecondWhileYoung(t *testing.T) {
+func TestSeriesStartsWithOneSecondSteps(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tracker := newTracker("a")
 		for range 20 {
