--- a/internal/claim/bench_test.go
+++ b/internal/claim/bench_test.go
@@ -22,17 +22,17 @@
 	}
 }
 
-// idle returns the only shard once its flush loop, which owns the view, has
-// ended.
-func idle(p *Pages) *shard {
+// waitIdle waits until the flush loop, which owns the view, has ended, and returns
+// the first shard.
+func waitIdle(p *Pages) *shard {
 	for p.busy() {
 		runtime.Gosched()
 	}
 	return p.shards[0]
 }
 
-// BenchmarkDecide decides a new key on a warm view: the work of a claim at the
-// owner but for its share of the write.
+// BenchmarkDecide plans a claim of a new key on a loaded view: the work for a claim
+// at the owner without its share of the write.
 func BenchmarkDecide(b *testing.B) {
 	for _, windows := range []int{1, 10, 100} {
 		b.Run(fmt.Sprint(windows, "windows"), func(b *testing.B) {
@@ -40,13 +40,13 @@
 				o.Shards, o.FlushInterval = 1, time.Microsecond
 			})
 			s := p.shards[0]
-			for i := 0; idle(p).view.current == nil || s.view.current.number < uint64(windows); i++ {
+			for i := 0; waitIdle(p).view.current == nil || s.view.current.number < uint64(windows); i++ {
 				if _, err := p.Claim(context.Background(), testRequest(fmt.Sprint(i), "x", time.Minute)); err != nil {
 					b.Fatal(err)
 				}
 			}
-			idle(p)
-			o := newOp(keyLife{}, entry{ID: idOf(Key{Key: "new"}), Op: opClaim, Token: "t"})
+			waitIdle(p)
+			o := newOp(keyLifetime{}, entry{ID: idOf(Key{Key: "new"}), Op: opClaim, Token: "t"})
 			b.ReportAllocs()
 			for b.Loop() {
 				if _, err := s.plan(context.Background(), []*op{o}, false); err != nil {
--- a/internal/claim/cache.go
+++ b/internal/claim/cache.go
@@ -5,6 +5,8 @@
 	"sync"
 )
 
+// heapFactor is the measured ratio of a window's size in memory to its stored
+// size.
 const heapFactor = 3
 
 type cacheKey struct {
@@ -12,11 +14,9 @@
 	number uint64
 }
 
-// windowCache keeps sealed windows of all shards within a size. Sealed windows
-// never change, so that one is never out of date; one that was dropped is
-// read again from the store before its keys are decided on.
-//
-// A window takes heapFactor times its stored size in memory, as measured.
+// windowCache is an LRU cache of the sealed windows of all shards, limited by
+// size. Sealed windows never change, so a cached one is never stale. An evicted
+// window is read from the store again when one of its keys is looked up.
 type windowCache struct {
 	limit int
 
--- a/internal/claim/cost_test.go
+++ b/internal/claim/cost_test.go
@@ -18,19 +18,19 @@
 	"lynxhill.example/lynxhill/internal/store/memstore"
 )
 
-// costTable makes TestClaimCost measure all of docs/design/claims.md.
+// costTable makes TestClaimCost measure the whole table of docs/design/claims.md.
 var costTable = flag.Bool("cost", false, "measure the table of docs/design/claims.md")
 
-// costConfig is a load on the claim pages.
+// costConfig is a load on Pages.
 type costConfig struct {
 	name      string
 	instances int
-	rate      float64 // claims a second in all
+	rate      float64 // total claims per second
 	shards    int
 	window    int
 	flush     time.Duration
-	owner     bool // claims are handed to the shard's owner
-	opaque    bool // keys without a time
+	owner     bool // claims are forwarded to the shard's owner
+	opaque    bool // keys without a timestamp
 	length    time.Duration
 }
 
@@ -63,7 +63,7 @@
 				o.Shards, o.WindowBytes, o.FlushInterval = cfg.shards, cfg.window, cfg.flush
 				if cfg.owner {
 					o.Owners = func(shard int) string { return fmt.Sprint(shard % cfg.instances) }
-					o.Forward = goodLink{&pages}
+					o.Forward = reliableForwarder{&pages}
 				}
 			}))
 		}
@@ -102,10 +102,10 @@
 	return result
 }
 
-// goodLink carries messages in a millisecond each way.
-type goodLink struct{ pages *[]*Pages }
+// reliableForwarder delivers messages with a latency of one millisecond each way.
+type reliableForwarder struct{ pages *[]*Pages }
 
-func (l goodLink) ForwardClaim(ctx context.Context, instance string, m Message) (Reply, error) {
+func (l reliableForwarder) ForwardClaim(ctx context.Context, instance string, m Message) (Reply, error) {
 	number, err := strconv.Atoi(instance)
 	if err != nil {
 		return Reply{}, err
@@ -136,8 +136,9 @@
 		r.quantile(0.5).Round(time.Millisecond), r.quantile(0.99).Round(time.Millisecond), r.failed)
 }
 
-// TestClaimCost holds what the platform is asked for with the defaults: at
-// the owner, one write carries many claims. With -cost it prints the table.
+// TestClaimCost checks the number of store writes per claim with the default
+// options, where the owner batches many claims into one write. With -cost it
+// prints the table.
 func TestClaimCost(t *testing.T) {
 	small := costConfig{name: "test", instances: 16, rate: 200, shards: 8, window: DefaultWindowBytes, flush: DefaultFlushInterval, owner: true, length: 20 * time.Second}
 	r := measureCost(t, small)
--- a/internal/claim/decide.go
+++ b/internal/claim/decide.go
@@ -6,16 +6,16 @@
 	"lynxhill.example/lynxhill/internal/errkind"
 )
 
-// decision is what the record of a key means for an op.
+// decision is the result of evaluating an op against the last entry of its key.
 type decision struct {
-	appends bool // the op's entry is to be written
-	result  opResult
-	// current says that the result holds only if nothing was written since
-	// the view was read.
-	current bool
+	writesEntry bool // whether the op's entry is to be written
+	result      opResult
+	// needsFreshView says that the result is valid only if nothing was written
+	// since the view was read.
+	needsFreshView bool
 }
 
-// decide is given the last entry of the op's key, if there is one.
+// decide evaluates an op. last is the last entry of the op's key if found is true.
 func decide(o *op, last entry, found bool) decision {
 	switch o.entry.Op {
 	case opClaim:
@@ -23,13 +23,13 @@
 	case opLookup:
 		return decideLookup(last, found)
 	default:
-		// A completion or release counts only for the attempt that holds the
-		// key: a release that came late must not free a later attempt's claim.
+		// A completion or release applies only to the attempt that holds the key:
+		// a late release must not release the claim of a later attempt.
 		if found && last.Token == o.entry.Token {
-			return decision{appends: last.Op == opClaim}
+			return decision{writesEntry: last.Op == opClaim}
 		}
 		// The attempt may have claimed the key since the view was read.
-		return decision{current: true}
+		return decision{needsFreshView: true}
 	}
 }
 
@@ -37,41 +37,42 @@
 	replaces := found && last.Op == opClaim && last.Token == o.supersedes
 	if !found || last.Op == opRelease || replaces {
 		answer := Answer{State: Granted, Holder: o.entry.Holder}
-		return decision{appends: true, result: opResult{answer: answer, found: true}}
+		return decision{writesEntry: true, result: opResult{answer: answer, found: true}}
 	}
 	if last.Body != o.entry.Body {
 		err := errkind.New(errkind.KeyReused, "the idempotency key was used with another body")
-		return decision{result: opResult{err: err}, current: last.Op == opClaim}
+		return decision{result: opResult{err: err}, needsFreshView: last.Op == opClaim}
 	}
 	return decideLookup(last, found)
 }
 
 func decideLookup(last entry, found bool) decision {
 	if !found || last.Op == opRelease {
-		return decision{current: true}
+		return decision{needsFreshView: true}
 	}
 	if last.Op == opComplete {
 		answer := Answer{State: Completed, Holder: last.Holder, Result: last.Result, HasResult: last.Result != nil}
 		return decision{result: opResult{answer: answer, found: true}}
 	}
 	answer := Answer{State: Held, Holder: last.Holder}
-	return decision{result: opResult{answer: answer, found: true}, current: true}
+	return decision{result: opResult{answer: answer, found: true}, needsFreshView: true}
 }
 
-// plan is what a batch comes to on top of the current view.
+// plan is the result of evaluating a batch against the current view.
 type plan struct {
-	ops     []*op // to be written, in order
-	entries []entry
-	answers []planned // known without a write
-	current bool      // an answer holds only if the view is up to date
+	ops            []*op // ops to be written, in order
+	entries        []entry
+	answers        []plannedAnswer // results that need no write
+	needsFreshView bool            // a result is valid only if the view is up to date
 }
 
-type planned struct {
+type plannedAnswer struct {
 	op     *op
 	result opResult
 }
 
-// plan decides the batch. fresh says that the view was read in this attempt.
+// plan evaluates the batch. fresh says that the current window was read in this
+// attempt.
 func (s *shard) plan(ctx context.Context, batch []*op, fresh bool) (plan, error) {
 	sealed, err := s.sealedFor(ctx, batch)
 	if err != nil {
@@ -82,9 +83,9 @@
 	for _, o := range batch {
 		last, found := s.find(o.entry.ID, written, sealed)
 		d := decide(o, last, found)
-		p.current = p.current || d.current
-		if !d.appends {
-			p.answers = append(p.answers, planned{o, d.result})
+		p.needsFreshView = p.needsFreshView || d.needsFreshView
+		if !d.writesEntry {
+			p.answers = append(p.answers, plannedAnswer{o, d.result})
 			continue
 		}
 		o.onWrite = d.result
@@ -92,9 +93,9 @@
 		p.entries = append(p.entries, o.entry)
 		written[o.entry.ID] = o.entry
 	}
-	// A write that succeeds shows that the view was up to date; without one,
-	// only a read does.
-	if p.current && !fresh && len(p.entries) == 0 {
+	// A successful write proves that the view was up to date. Without a write,
+	// the current window has to be read.
+	if p.needsFreshView && !fresh && len(p.entries) == 0 {
 		if err := s.refresh(ctx); err != nil {
 			return plan{}, err
 		}
@@ -103,7 +104,8 @@
 	return p, nil
 }
 
-// find returns the last entry of the key, the newest window first.
+// find returns the last entry of the key. It searches the entries planned in this
+// batch, then the current window, then the sealed windows from new to old.
 func (s *shard) find(id keyID, written map[keyID]entry, sealed map[uint64]*window) (entry, bool) {
 	if e, ok := written[id]; ok {
 		return e, true
--- a/internal/claim/drain.go
+++ b/internal/claim/drain.go
@@ -9,65 +9,69 @@
 	"lynxhill.example/lynxhill/internal/event"
 )
 
-// Timing of the end.
+// Timing of a drain.
 const (
 	// storeGrace is how long a stopping instance waits for the store before it
-	// hands completions and releases to other instances.
+	// transfers completions and releases to other instances.
 	storeGrace = 3 * time.Second
-	// handOverGrace is what Run adds to that when nobody called Drain.
-	handOverGrace = time.Second
+	// transferGrace is the additional time that Run allows for transfers if Drain was
+	// not called.
+	transferGrace = time.Second
 	stopPoll      = 50 * time.Millisecond
 )
 
 const (
-	// handOverCopies is how many instances are given each record, so that it
-	// outlasts the death of one of them.
-	handOverCopies = 2
-	// handOverCalls is how many records are handed over at the same time.
-	handOverCalls = 16
+	// transferCopies is the number of instances that receive each record, so that it
+	// survives the failure of one of them.
+	transferCopies = 2
+	// transferConcurrency is the number of records that are transferred concurrently.
+	transferConcurrency = 16
 )
 
-// Drain ends the recording of claims: it writes every completion and release
-// at once, then hands what the store did not take to other instances, and logs
-// what it still holds when ctx ends. A record that is lost here leaves its key
-// held, so that each resend is told "may have run" for the whole retention.
+// Drain finishes the recording of claims before the instance stops. It writes all
+// pending completions and releases without delay, transfers those that the store
+// does not accept to other instances, and logs how many remain unrecorded when
+// ctx ends. A lost completion or release leaves its key held, so that every retry
+// within the retention gets "may have run".
 //
-// Messages of other instances are refused from now on, and their senders
-// record for themselves.
+// From now on, messages of other instances are refused; their senders write the
+// records themselves.
 func (p *Pages) Drain(ctx context.Context) {
 	p.draining.Store(true)
 	for _, s := range p.shards {
-		s.hurry()
+		s.flushNow()
 	}
 	end := p.opts.Clock.Now().Add(storeGrace)
 	for p.busy() && p.opts.Clock.Now().Before(end) && loop.Sleep(ctx, p.opts.Clock, stopPoll) {
 	}
-	for p.owes() {
-		p.handOver(ctx)
-		if !p.owes() || !loop.Sleep(ctx, p.opts.Clock, stopPoll) {
+	for p.hasUnwritten() {
+		p.transferUnwritten(ctx)
+		if !p.hasUnwritten() || !loop.Sleep(ctx, p.opts.Clock, stopPoll) {
 			break
 		}
 	}
-	if lost := int64(len(p.unwritten())) + p.ending.Load(); lost > 0 {
+	if lost := int64(len(p.unwritten())) + p.forwardedEnds.Load(); lost > 0 {
 		p.opts.Logger.Log(event.ClaimUnrecorded, "records", lost)
 	}
 }
 
-// drainAtEnd drains for an instance that ends without a graceful stop.
-func (p *Pages) drainAtEnd() {
+// drainOnExit calls Drain with a time limit if it has not been called yet, that is, if
+// the instance stops without a graceful shutdown.
+func (p *Pages) drainOnExit() {
 	if p.draining.Load() {
 		return
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	timer := p.opts.Clock.AfterFunc(storeGrace+handOverGrace, cancel)
+	timer := p.opts.Clock.AfterFunc(storeGrace+transferGrace, cancel)
 	defer timer.Stop()
 	p.Drain(ctx)
 }
 
-// busy reports whether a flush loop runs or a record is on its way to an owner.
+// busy reports whether a flush loop is running or a completion or release is being
+// forwarded to an owner.
 func (p *Pages) busy() bool {
-	if p.ending.Load() > 0 {
+	if p.forwardedEnds.Load() > 0 {
 		return true
 	}
 	for _, s := range p.shards {
@@ -81,7 +85,7 @@
 	return false
 }
 
-func (p *Pages) owes() bool { return p.ending.Load() > 0 || len(p.unwritten()) > 0 }
+func (p *Pages) hasUnwritten() bool { return p.forwardedEnds.Load() > 0 || len(p.unwritten()) > 0 }
 
 func (p *Pages) unwritten() []*op {
 	var all []*op
@@ -91,19 +95,20 @@
 	return all
 }
 
-// handOver gives other instances what the store did not take.
-func (p *Pages) handOver(ctx context.Context) {
+// transferUnwritten transfers completions and releases that are not in the store to
+// other instances.
+func (p *Pages) transferUnwritten(ctx context.Context) {
 	ops, peers := p.unwritten(), p.opts.Peers()
 	if len(ops) == 0 || len(peers) == 0 || p.opts.Forward == nil {
 		return
 	}
 	var calls sync.WaitGroup
-	room := make(chan struct{}, handOverCalls)
+	room := make(chan struct{}, transferConcurrency)
 	for _, o := range ops {
 		room <- struct{}{}
 		calls.Go(func() {
 			defer func() { <-room }()
-			p.handOverOne(ctx, o, peers)
+			p.transferOne(ctx, o, peers)
 		})
 	}
 	calls.Wait()
@@ -113,21 +118,21 @@
 	}
 }
 
-func (p *Pages) handOverOne(ctx context.Context, o *op, peers []string) {
-	if p.giveCopies(ctx, o, peers, handOverCopies) > 0 {
-		p.shards[o.entry.ID.shard(p.opts.Shards)].finish(o)
+func (p *Pages) transferOne(ctx context.Context, o *op, peers []string) {
+	if p.sendCopies(ctx, o, peers, transferCopies) > 0 {
+		p.shards[o.entry.ID.shard(p.opts.Shards)].finishTransferred(o)
 	}
 }
 
-// giveCopies gives up to most of the peers a copy of the op and returns how many
-// took it.
-func (p *Pages) giveCopies(ctx context.Context, o *op, peers []string, most int) (copies int) {
+// sendCopies sends a copy of the op to peers until limit of them have accepted it, and
+// returns how many did.
+func (p *Pages) sendCopies(ctx context.Context, o *op, peers []string, limit int) (copies int) {
 	for _, peer := range peers {
-		if copies == most || ctx.Err() != nil {
+		if copies == limit || ctx.Err() != nil {
 			break
 		}
 		callCtx, cancel := p.forwardContext(ctx, forwardTimeout)
-		_, err := p.opts.Forward.ForwardClaim(callCtx, peer, o.message(keepPrefix+string(o.entry.Op)))
+		_, err := p.opts.Forward.ForwardClaim(callCtx, peer, o.message(transferPrefix+string(o.entry.Op)))
 		cancel()
 		if err == nil {
 			copies++
@@ -136,9 +141,10 @@
 	return copies
 }
 
-// copyOut gives another instance a copy of each completion and release that waits
-// while the store is away. Held by one process only, they would end with it.
-func (s *shard) copyOut(batch []*op) {
+// replicateUnwritten sends a copy of each completion and release in the batch to one
+// other instance while the store is unavailable. Otherwise they would be lost if
+// this process failed.
+func (s *shard) replicateUnwritten(batch []*op) {
 	p := s.pages
 	peers := p.opts.Peers()
 	if len(peers) == 0 || p.opts.Forward == nil {
@@ -146,8 +152,8 @@
 	}
 	var fresh []*op
 	for _, o := range batch {
-		if !o.copied && (o.entry.Op == opComplete || o.entry.Op == opRelease) {
-			o.copied = true
+		if !o.replicated && (o.entry.Op == opComplete || o.entry.Op == opRelease) {
+			o.replicated = true
 			fresh = append(fresh, o)
 		}
 	}
@@ -156,20 +162,20 @@
 	}
 	go func() {
 		for _, o := range fresh {
-			p.giveCopies(context.Background(), o, peers, 1)
+			p.sendCopies(context.Background(), o, peers, 1)
 		}
 	}()
 }
 
-// finish ends an op whose record another instance has taken over.
-func (s *shard) finish(o *op) {
+// finishTransferred finishes an op that another instance has accepted.
+func (s *shard) finishTransferred(o *op) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	o.finish(opResult{})
 }
 
-// hurry lets the flush loop write at once what may usually wait.
-func (s *shard) hurry() {
+// flushNow makes the flush loop write pending ops without the delay of lazy ops.
+func (s *shard) flushNow() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.pages.opts.Clock.Now()
--- a/internal/claim/drain_test.go
+++ b/internal/claim/drain_test.go
@@ -18,18 +18,19 @@
 	"lynxhill.example/lynxhill/internal/store/memstore"
 )
 
-// heldBackStore refuses writes of low priority, as the store client does for
-// some seconds after an outage.
-type heldBackStore struct{ store.Store }
+// controlThrottledStore refuses writes of control priority, as the store client
+// does for some seconds after an outage.
+type controlThrottledStore struct{ store.Store }
 
-func (s heldBackStore) Put(ctx context.Context, key string, value []byte, ifVersion uint64) (store.Object, error) {
+func (s controlThrottledStore) Put(ctx context.Context, key string, value []byte, ifVersion uint64) (store.Object, error) {
 	if store.PriorityOf(ctx) == store.PriorityControl {
 		return store.Object{}, store.ErrThrottled
 	}
 	return s.Store.Put(ctx, key, value, ifVersion)
 }
 
-// runUntilStopped runs Pages and returns a function that stops it and waits.
+// runUntilStopped starts Pages.Run and returns a function that stops it and waits
+// until it has returned.
 func runUntilStopped(t *testing.T, p *Pages) (stop func()) {
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
@@ -37,12 +38,12 @@
 	return func() { cancel(); <-ended }
 }
 
-// Guards against completions that a stopping instance drops because its store
-// client holds back calls of their priority.
+// Guards against completions that a stopping instance loses because its store
+// client throttles calls of their priority.
 func TestStopDoesNotWaitForLowPriorityCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		st := memstore.New(memstore.Options{})
-		a := testPages(st, "a", 1, func(o *PagesOptions) { o.Store = heldBackStore{st} })
+		a := testPages(st, "a", 1, func(o *PagesOptions) { o.Store = controlThrottledStore{st} })
 		stop := runUntilStopped(t, a)
 		mustState(t, a, testRequest("k", "x", time.Second), Granted).Claim.Complete(json.RawMessage(`1`))
 		time.Sleep(5 * time.Second)
@@ -51,15 +52,15 @@
 	})
 }
 
-// Guards against completions and releases that end with an instance that stops
-// while the store is away.
-func TestStopHandsOverWhatTheStoreDoesNotTake(t *testing.T) {
+// Guards against completions and releases that are lost with an instance that
+// stops while the store is unavailable.
+func TestStopTransfersUnwrittenRecords(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		st := memstore.New(memstore.Options{})
 		var pages []*Pages
 		for i, self := range []string{"0", "1", "2"} {
 			pages = append(pages, testPages(st, self, uint64(i), func(o *PagesOptions) {
-				o.Forward = goodLink{&pages}
+				o.Forward = reliableForwarder{&pages}
 				o.Peers = func() []string { return []string{"1", "2"} }
 			}))
 		}
@@ -80,7 +81,7 @@
 	})
 }
 
-// Guards against a stop that loses completions without a trace.
+// Guards against a stop that loses completions without a log entry.
 func TestStopLogsLostRecords(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		st := memstore.New(memstore.Options{})
@@ -99,15 +100,15 @@
 	})
 }
 
-// mortalOwner is an owner that can be killed: its store calls and the calls
-// made to it fail from then on, those under way too.
-type mortalOwner struct {
+// killableOwner is an owner that can be killed. From then on, its store writes and
+// the messages to it fail, including messages in progress.
+type killableOwner struct {
 	store.Store
 	pages *Pages
 	dead  chan struct{}
 }
 
-func (m *mortalOwner) Put(ctx context.Context, key string, value []byte, ifVersion uint64) (store.Object, error) {
+func (m *killableOwner) Put(ctx context.Context, key string, value []byte, ifVersion uint64) (store.Object, error) {
 	select {
 	case <-m.dead:
 		return store.Object{}, store.ErrUnavailable
@@ -116,7 +117,7 @@
 	}
 }
 
-func (m *mortalOwner) ForwardClaim(ctx context.Context, _ string, msg Message) (Reply, error) {
+func (m *killableOwner) ForwardClaim(ctx context.Context, _ string, msg Message) (Reply, error) {
 	type answer struct {
 		reply Reply
 		err   error
@@ -130,16 +131,16 @@
 	case a := <-answered:
 		return a.reply, a.err
 	case <-m.dead:
-		return Reply{}, errLink
+		return Reply{}, errForward
 	}
 }
 
-// Guards against completions and releases that an owner confirms, and that die
-// with it before they are written.
+// Guards against completions and releases that an owner confirms and that are lost
+// because it fails before it has written them.
 func TestOwnerKilledBeforeItWritesACompletion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		st := memstore.New(memstore.Options{})
-		owner := &mortalOwner{Store: st, dead: make(chan struct{})}
+		owner := &killableOwner{Store: st, dead: make(chan struct{})}
 		owner.pages = testPages(st, "owner", 1, func(o *PagesOptions) { o.Store = owner })
 		holder := testPages(st, "holder", 2, func(o *PagesOptions) {
 			o.Owners = func(int) string { return "owner" }
@@ -155,8 +156,8 @@
 	})
 }
 
-// Guards against completions that die with their instance while the store is
-// away.
+// Guards against completions that are lost with their instance while the store is
+// unavailable.
 func TestKilledInstanceLeavesCopiesOfItsCompletions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		st := memstore.New(memstore.Options{})
@@ -164,10 +165,10 @@
 		dead := make(chan struct{})
 		for i, self := range []string{"0", "1"} {
 			pages = append(pages, testPages(st, self, uint64(i), func(o *PagesOptions) {
-				o.Forward = goodLink{&pages}
+				o.Forward = reliableForwarder{&pages}
 				o.Peers = func() []string { return []string{strconv.Itoa(1 - i)} }
 				if i == 0 {
-					o.Store = &mortalOwner{Store: st, dead: dead}
+					o.Store = &killableOwner{Store: st, dead: dead}
 				}
 			}))
 			defer runUntilStopped(t, pages[i])()
@@ -183,7 +184,7 @@
 	})
 }
 
-// Guards against completions that are dropped by an instance whose view of the
+// Guards against completions that are discarded by an instance whose view of the
 // shard is older than the claim.
 func TestOutdatedViewDoesNotDropACompletion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -192,8 +193,8 @@
 		req := testRequest("k", "x", time.Minute)
 		mustState(t, outdated, req, Granted).Claim.Release()
 		time.Sleep(time.Second)
-		claimed := mustState(t, a, req, Granted).Claim.(*granted)
-		m := Message{Op: MessageKeepComplete, Key: req.Key, Body: req.BodyHash, Token: claimed.entry.Token, Holder: "a", Result: json.RawMessage(`1`)}
+		claimed := mustState(t, a, req, Granted).Claim.(*grantedClaim)
+		m := Message{Op: MessageTransferComplete, Key: req.Key, Body: req.BodyHash, Token: claimed.entry.Token, Holder: "a", Result: json.RawMessage(`1`)}
 		if _, err := outdated.Handle(t.Context(), m); err != nil {
 			t.Fatal(err)
 		}
@@ -202,15 +203,15 @@
 	})
 }
 
-// Guards against an owner that confirms a completion of which it does not know
-// whether it was written.
+// Guards against an owner that confirms a completion although the outcome of its
+// write is unknown.
 func TestOwnerDoesNotConfirmAnUnknownWrite(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		st := memstore.New(memstore.Options{})
 		owner := testPages(st, "owner", 1, nil)
 		defer runUntilStopped(t, owner)()
 		req := testRequest("k", "x", time.Minute)
-		token := mustState(t, owner, req, Granted).Claim.(*granted).entry.Token
+		token := mustState(t, owner, req, Granted).Claim.(*grantedClaim).entry.Token
 		confirmed := make(chan error, 1)
 		go func() {
 			_, err := owner.Handle(t.Context(), Message{Op: MessageComplete, Key: req.Key, Body: req.BodyHash, Token: token, Holder: "a"})
@@ -218,8 +219,8 @@
 		}()
 		synctest.Wait()
 		s := owner.shards[idOf(req.Key).shard(owner.opts.Shards)]
-		s.view.doubt = s.unwritten()
-		s.giveUpDoubt()
+		s.view.inDoubt = s.unwritten()
+		s.failInDoubt()
 		if err := <-confirmed; !errkind.Is(err, errkind.OutcomeUnknown) {
 			t.Errorf("confirmed with %v", err)
 		}
--- a/internal/claim/failures_test.go
+++ b/internal/claim/failures_test.go
@@ -18,9 +18,9 @@
 	"lynxhill.example/lynxhill/internal/store/memstore"
 )
 
-// Symptom: a booking is refused although nobody else wants it. Events: the
-// reply to the claim's write is lost. Cause: the instance's own entry, found
-// by reading back, is taken for somebody else's.
+// Guards against an instance that mistakes its own claim for that of another
+// request. After the reply to a write is lost, it reads the window back and finds
+// its own entry there; the claim must be granted.
 func TestLostReplyIsSettled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		st := memstore.New(memstore.Options{})
@@ -33,19 +33,19 @@
 	})
 }
 
-// Symptom: a booking is made twice, a day after a quiet one. Events: an
-// instance has seen a window sealed and the next one not yet created; it gets
-// no claim of that shard for longer than the retention; the windows go on, and
-// the one it would create is long removed. Cause: it creates it again, and
-// looks in none of those that are in use.
+// Guards against duplicate grants from a stale view. An instance has seen a window
+// sealed and the next one not yet created, and then gets no claim of that shard
+// for longer than the retention. Meanwhile, other instances create, seal and remove
+// that next window. If the first instance created it again, it would search none of
+// the windows in use.
 func TestSleeperDoesNotRecreateWindow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		st := memstore.New(memstore.Options{})
 		small := func(o *PagesOptions) { o.Shards, o.WindowBytes, o.FlushInterval = 1, 500, time.Millisecond }
-		a, sleeper := testPages(st, "a", 1, small), testPages(st, "s", 2, small)
-		for i := 0; currentOf(sleeper) == nil || currentOf(sleeper).version != 0; i++ {
-			mustState(t, sleeper, testRequest(fmt.Sprint("s", i), "x", time.Second), Granted)
+		a, suspended := testPages(st, "a", 1, small), testPages(st, "s", 2, small)
+		for i := 0; currentOf(suspended) == nil || currentOf(suspended).version != 0; i++ {
+			mustState(t, suspended, testRequest(fmt.Sprint("s", i), "x", time.Second), Granted)
 		}
 		stopped := make(chan struct{})
 		go func() { a.Run(ctx); close(stopped) }()
@@ -55,7 +55,7 @@
 			}
 			time.Sleep(time.Hour)
 		}
-		mustState(t, sleeper, testRequest("39-0", "x", time.Second), Held)
+		mustState(t, suspended, testRequest("39-0", "x", time.Second), Held)
 		cancel()
 		<-stopped
 	})
@@ -77,9 +77,9 @@
 	})
 }
 
-// Symptom: completions of the last second before a planned stop are missing,
-// and resends are told outcome_unknown. Cause: Run ends without writing them.
-func TestStopWritesWhatWaits(t *testing.T) {
+// Guards against a Run that returns without writing the completions of the last
+// second before a planned stop, so that retries get outcome_unknown.
+func TestStopWritesPendingCompletions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		st := memstore.New(memstore.Options{})
@@ -93,26 +93,27 @@
 	})
 }
 
-// deadLink is the way to an owner that grants a claim and then dies.
-type deadLink struct{ owner *Pages }
+// unresponsiveOwner forwards to an owner that grants a claim and then stops
+// replying.
+type unresponsiveOwner struct{ owner *Pages }
 
-func (l deadLink) ForwardClaim(ctx context.Context, _ string, m Message) (Reply, error) {
+func (l unresponsiveOwner) ForwardClaim(ctx context.Context, _ string, m Message) (Reply, error) {
 	if m.Op == MessageClaim {
 		return l.owner.Handle(ctx, m)
 	}
 	<-ctx.Done()
-	return Reply{}, errLink
+	return Reply{}, errForward
 }
 
-// Symptom: the same. Events: the completion is on its way to an owner that
-// does not answer. Cause: only what waits for the store is waited for.
+// Guards against a Run that returns while a completion is being forwarded to an
+// owner that does not reply, because it waits only for pending store writes.
 func TestStopWaitsForTheOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		st := memstore.New(memstore.Options{})
 		a := testPages(st, "a", 1, func(o *PagesOptions) {
 			o.Owners = func(int) string { return "owner" }
-			o.Forward = deadLink{testPages(st, "owner", 3, nil)}
+			o.Forward = unresponsiveOwner{testPages(st, "owner", 3, nil)}
 		})
 		stopped := make(chan struct{})
 		go func() { a.Run(ctx); close(stopped) }()
@@ -123,10 +124,10 @@
 	})
 }
 
-// Symptom: a key stays held by a request that was never started. Events: a
-// write is stuck on its way for longer than the call's time limit; reading
-// back shows the window as it was; then the write takes effect. Cause: the
-// unchanged window is taken as proof that the write is lost.
+// Guards against a key that stays held by a request that was never started. A
+// write is delayed beyond the call's timeout, the window is read back unchanged,
+// and then the write takes effect. An unchanged window does not prove that the
+// write is lost.
 func TestUnchangedWindowProvesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		st := memstore.New(memstore.Options{})
@@ -141,26 +142,26 @@
 	})
 }
 
-// Symptom: a booking is made twice. Events: an attempt's release is written
-// again after the next attempt has claimed the key. Cause: a release counts
-// for whoever holds the key.
+// Guards against a release that applies to any holder of the key: a release that
+// is recorded again after the next attempt has claimed the key must not release
+// that attempt's claim, or the stage would run twice.
 func TestLateReleaseFreesOnlyItsOwnAttempt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		st := memstore.New(memstore.Options{})
 		a := testPages(st, "a", 1, nil)
-		first := mustState(t, a, testRequest("k", "x", time.Second), Granted).Claim.(*granted)
+		first := mustState(t, a, testRequest("k", "x", time.Second), Granted).Claim.(*grantedClaim)
 		first.Release()
 		time.Sleep(time.Second)
 		mustState(t, a, testRequest("k", "x", time.Second), Granted)
-		first.shard.record(releaseOf(first.entry, first.life, time.Now()))
+		first.shard.record(releaseOf(first.entry, first.lifetime, time.Now()))
 		time.Sleep(time.Second)
 		mustState(t, a, testRequest("k", "x", time.Second), Held)
 	})
 }
 
-// Symptom: after a change of the settings, resends run a second time. Events:
-// an instance is started with another number of shards. Cause: it looks for
-// every key in another shard than the one it was recorded in.
+// Guards against duplicate runs after the number of shards has been changed in the
+// settings: an instance with another number would search for each key in a
+// different shard from the one in which it was recorded.
 func TestOtherShardCountIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		st := memstore.New(memstore.Options{})
@@ -173,7 +174,7 @@
 	})
 }
 
-// priorityStore notes the priority of each write.
+// priorityStore records the priority of each write.
 type priorityStore struct {
 	store.Store
 	mu   sync.Mutex // guards seen
@@ -187,8 +188,8 @@
 	return s.Store.Put(ctx, key, value, ifVersion)
 }
 
-// Symptom: bookings are refused while the platform's limit is short, although
-// completions go through. Cause: both are written with the same priority.
+// Guards against claims that are refused under the platform's rate limit while
+// completions are written, because both have the same priority.
 func TestCompletionsYieldToClaims(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		st := &priorityStore{Store: memstore.New(memstore.Options{})}
@@ -205,8 +206,8 @@
 	})
 }
 
-// Symptom: twice as many claims are reported as were asked for. Cause: a claim
-// that its owner wrote for another instance is counted at both.
+// Guards against counting a forwarded claim both at the owner that writes it and
+// at the instance that holds it.
 func TestForwardedGrantIsCountedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		st := memstore.New(memstore.Options{})
@@ -216,7 +217,7 @@
 			counts[i] = metrics.NewRegistry()
 			pages = append(pages, testPages(st, strconv.Itoa(i), uint64(i), func(o *PagesOptions) {
 				o.Owners = func(int) string { return "0" }
-				o.Forward, o.Metrics = goodLink{&pages}, counts[i]
+				o.Forward, o.Metrics = reliableForwarder{&pages}, counts[i]
 			}))
 		}
 		mustState(t, pages[1], testRequest("k", "x", time.Second), Granted)
--- a/internal/claim/faults_test.go
+++ b/internal/claim/faults_test.go
@@ -11,38 +11,38 @@
 	"lynxhill.example/lynxhill/internal/store/memstore"
 )
 
-// pausingStore is an instance that sometimes stops between deciding on a write
-// and sending it, for longer than its own time limits.
+// pausingStore simulates an instance that is sometimes paused between deciding on a
+// write and sending it, for longer than its own timeouts.
 type pausingStore struct {
 	store.Store
-	mu   sync.Mutex // guards rng and share
-	rng  *rand.Rand
-	rate float64
+	mu        sync.Mutex // guards rng
+	rng       *rand.Rand
+	pauseRate float64
 }
 
 func (s *pausingStore) Put(ctx context.Context, key string, value []byte, ifVersion uint64) (store.Object, error) {
 	s.mu.Lock()
 	pause := time.Duration(0)
-	if s.rng.Float64() < s.rate {
+	if s.rng.Float64() < s.pauseRate {
 		pause = time.Duration(s.rng.Int64N(int64(8 * time.Second)))
 	}
 	s.mu.Unlock()
 	if pause > 0 {
 		time.Sleep(pause)
-		ctx = context.WithoutCancel(ctx) // a paused process sends it all the same
+		ctx = context.WithoutCancel(ctx) // a paused process still sends the write
 	}
 	return s.Store.Put(ctx, key, value, ifVersion)
 }
 
-// badLink carries messages between instances. Some are lost, late, or arrive
-// while their reply does not.
-type badLink struct {
+// faultyForwarder sends messages between instances. Some messages are lost or
+// delayed, and some replies are lost.
+type faultyForwarder struct {
 	history *history
 	mu      sync.Mutex // guards rng
 	rng     *rand.Rand
 }
 
-func (l *badLink) ForwardClaim(ctx context.Context, instance string, m Message) (Reply, error) {
+func (l *faultyForwarder) ForwardClaim(ctx context.Context, instance string, m Message) (Reply, error) {
 	l.mu.Lock()
 	fate := l.rng.IntN(10)
 	late := time.Duration(l.rng.Int64N(int64(3 * time.Second)))
@@ -57,23 +57,23 @@
 	l.history.mu.Unlock()
 	switch fate {
 	case 0:
-		return Reply{}, errLink
-	case 1: // arrives late, and its caller has gone
+		return Reply{}, errForward
+	case 1: // the message arrives after the caller has given up
 		go func() {
 			time.Sleep(late)
 			_, _ = to.Handle(context.Background(), m)
 		}()
-		return Reply{}, errLink
+		return Reply{}, errForward
 	case 2: // the reply is lost
 		_, _ = to.Handle(context.WithoutCancel(ctx), m)
-		return Reply{}, errLink
+		return Reply{}, errForward
 	case 3:
 		time.Sleep(late)
 	}
 	return to.Handle(ctx, m)
 }
 
-var errLink = errors.New("link broken")
+var errForward = errors.New("link broken")
 
 func (h *history) drawFaults() memstore.Faults {
 	switch h.rng.IntN(7) {
--- a/internal/claim/flush.go
+++ b/internal/claim/flush.go
@@ -16,23 +16,24 @@
 	conflictBackoff = 5 * time.Millisecond
 	minBackoff      = 20 * time.Millisecond
 	maxBackoff      = time.Second
-	// warnAttempts is the number of failed attempts after which the log says
-	// that claims wait, and other instances are given copies of completions.
+	// warnAttempts is the number of failed attempts after which a warning is
+	// logged and completions and releases are replicated to another instance.
 	warnAttempts = 6
 )
 
-// flush writes what is pending. It returns false when Pages stops.
+// flush processes batches of pending ops, with backoff, until all are finished. It
+// returns false if Pages stops.
 func (s *shard) flush() bool {
 	var batch []*op
 	backoff := minBackoff
 	for attempt := 1; ; attempt++ {
 		batch = s.nextBatch(batch)
-		if len(batch) == 0 && len(s.view.doubt) == 0 {
+		if len(batch) == 0 && len(s.view.inDoubt) == 0 {
 			return true
 		}
 		err := s.attempt(batch)
 		batch = s.unfinished(batch)
-		if err == nil && len(batch) == 0 && len(s.view.doubt) == 0 {
+		if err == nil && len(batch) == 0 && len(s.view.inDoubt) == 0 {
 			s.writeIndex()
 			return true
 		}
@@ -41,7 +42,7 @@
 			wait, backoff = backoff, min(backoff*2, maxBackoff)
 			s.warn(attempt, err)
 			if attempt >= warnAttempts {
-				s.copyOut(batch)
+				s.replicateUnwritten(batch)
 			}
 		}
 		if !s.sleep(wait/2+s.pages.jitter(wait), false) {
@@ -62,8 +63,9 @@
 	return slices.DeleteFunc(batch, func(o *op) bool { return o.finished })
 }
 
-// callContext limits the store calls of one attempt. It does not end with any
-// single caller: the write carries the claims of many.
+// callContext returns a context that limits the store calls of one attempt to
+// callTimeout. It is independent of the callers' contexts, since one write contains
+// the claims of many callers.
 func (s *shard) callContext(p store.Priority) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(store.WithPriority(context.Background(), p))
 	timer := s.pages.opts.Clock.AfterFunc(callTimeout, cancel)
@@ -73,9 +75,9 @@
 	}
 }
 
-// priorityOf is that of the most urgent op: when the budget of store calls is
-// short, completions make room for claims that callers wait for. Those of a
-// stopping instance cannot wait.
+// priorityOf returns the priority of the most urgent op in the batch. When store
+// calls are throttled, completions yield to claims that callers wait for. During a
+// drain, completions have request priority too, since they cannot be delayed.
 func (s *shard) priorityOf(batch []*op) store.Priority {
 	if s.pages.draining.Load() {
 		return store.PriorityRequest
@@ -88,16 +90,16 @@
 	return store.PriorityControl
 }
 
-// attempt decides the batch on top of the view and writes once. Ops that are
-// decided are finished; the others stay for the next attempt. An error says
-// that the store did not answer.
+// attempt evaluates the batch against the view and makes at most one write. Ops
+// with a result are finished; the others are left for the next attempt. An error
+// means that a store call failed or returned an invalid object.
 func (s *shard) attempt(batch []*op) error {
 	ctx, cancel := s.callContext(s.priorityOf(batch))
 	defer cancel()
 	if err := s.load(ctx); err != nil {
 		return err
 	}
-	if len(s.view.doubt) > 0 {
+	if len(s.view.inDoubt) > 0 {
 		if err := s.refresh(ctx); err != nil {
 			return err
 		}
@@ -107,20 +109,20 @@
 	if err != nil {
 		return err
 	}
-	if len(p.entries) == 0 && len(s.view.doubt) == 0 {
-		s.deliver(p)
+	if len(p.entries) == 0 && len(s.view.inDoubt) == 0 {
+		s.finishAnswers(p)
 		return nil
 	}
 	return s.write(ctx, p)
 }
 
-// write puts the window with the plan's entries on condition that it still has
-// the version the plan was made on. With a lost write before it and nothing to
-// add, it writes the window unchanged: after that, the lost write can no
-// longer take effect.
+// write stores the window with the plan's entries appended, on condition that it
+// still has the version that the plan was based on. If a write is in doubt and
+// there are no entries, it writes the window unchanged: after that, the write in
+// doubt can no longer take effect.
 func (s *shard) write(ctx context.Context, p plan) error {
 	if !s.markInDoubt(p.ops) {
-		return nil // a caller gave up meanwhile: decide again without it
+		return nil // an op was abandoned in the meantime: plan again without it
 	}
 	current := s.view.current
 	next := current.with(p.entries, false)
@@ -129,71 +131,72 @@
 		next.Sealed = true
 		value = encode(next)
 	}
-	s.pace()
+	s.countWrite()
 	asked := millis(s.pages.opts.Clock.Now())
 	obj, err := s.pages.opts.Store.Put(ctx, windowKey(s.number, current.number), value, current.version)
 	switch {
 	case err == nil:
-		if s.outdated() {
-			return s.writtenLate(p)
+		if s.viewStale() {
+			return s.discardLateWrite(p)
 		}
 		s.view.confirmed = asked
-		s.written(newWindow(current.number, obj.Version, next, len(value)), p)
+		s.applyWrite(newWindow(current.number, obj.Version, next, len(value)), p)
 		return nil
 	case errors.Is(err, store.ErrConflict):
 		s.pages.conflicts.Add(1)
-		s.clearDoubt(p.ops)
+		s.clearInDoubt(p.ops)
 		if obj.Version > 0 && !obj.Deleted {
-			return s.adopt(ctx, obj)
+			return s.replaceCurrent(ctx, obj)
 		}
 		return s.refresh(ctx)
 	case errors.Is(err, store.ErrUnavailable), errors.Is(err, store.ErrThrottled), errors.Is(err, store.ErrTooLarge):
 		s.pages.errors.Add(1)
-		s.clearDoubt(p.ops)
+		s.clearInDoubt(p.ops)
 		return err
 	default:
 		s.pages.errors.Add(1)
-		s.addDoubt(p.ops)
+		s.addInDoubt(p.ops)
 		return err
 	}
 }
 
-// writtenLate handles a write that was confirmed so long after its view was
-// read, say because the process was paused, that its window may have been
-// removed and created again by this very write. Its claims are not granted.
-func (s *shard) writtenLate(p plan) error {
-	s.addDoubt(p.ops)
-	s.giveUpDoubt()
+// discardLateWrite handles a write that was confirmed after its view had become stale,
+// for example because the process was paused. The window may have been removed
+// in the meantime and created again by this write, so its claims are not granted.
+func (s *shard) discardLateWrite(p plan) error {
+	s.addInDoubt(p.ops)
+	s.failInDoubt()
 	s.view.loaded = false
 	return nil
 }
 
-// pace notes a write; see paid.
-func (s *shard) pace() {
+// countWrite advances nextWriteTime by one flush interval for a write that is about
+// to be sent.
+func (s *shard) countWrite() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if now := s.pages.opts.Clock.Now(); s.paid.Before(now) {
-		s.paid = now
+	if now := s.pages.opts.Clock.Now(); s.nextWriteTime.Before(now) {
+		s.nextWriteTime = now
 	}
-	s.paid = s.paid.Add(s.pages.opts.FlushInterval)
+	s.nextWriteTime = s.nextWriteTime.Add(s.pages.opts.FlushInterval)
 }
 
-// written takes over a write that was confirmed.
-func (s *shard) written(w *window, p plan) {
+// applyWrite updates the view after a confirmed write and finishes the plan's ops.
+func (s *shard) applyWrite(w *window, p plan) {
 	s.pages.writes.Add(1)
 	s.view.current = w
-	s.settle(w)
+	s.resolveInDoubt(w)
 	s.finishWritten(p.ops)
-	s.deliver(p)
+	s.finishAnswers(p)
 	if w.page.Sealed {
 		s.pages.opts.Logger.Log(event.ClaimSealed, "shard", s.number, "window", w.number)
-		s.noteSealed(w)
+		s.addSealed(w)
 		s.view.current = emptyWindow(w.number + 1)
 	}
 }
 
-// deliver finishes the ops whose answers needed no write of their own.
-func (s *shard) deliver(p plan) {
+// finishAnswers finishes the ops whose results needed no write of their own.
+func (s *shard) finishAnswers(p plan) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, a := range p.answers {
@@ -204,16 +207,17 @@
 	}
 }
 
-// indexEvery is how many sealed windows may lack in the stored index. A reader
-// finds them all the same, by a read each; a write of the index for every one
-// would cost more than those reads, as the index grows with the retention.
-const indexEvery = 8
+// indexLagWindows is the number of sealed windows missing from the stored index at
+// which the index is written. Readers find missing windows anyway, with one read
+// each. Writing the index for every sealed window would cost more than those
+// reads, since the size of the index grows with the retention.
+const indexLagWindows = 8
 
-// writeIndex stores our copy of the index if the stored one lacks enough
-// windows. A failure is made good after the next seal: the index only saves
-// reads.
+// writeIndex stores the view's copy of the index if the stored one lacks at least
+// indexLagWindows windows. A failed write needs no retry, because the index only
+// saves reads; the index is written after a later flush.
 func (s *shard) writeIndex() {
-	if !s.view.loaded || s.view.index.next() < s.view.indexed+indexEvery {
+	if !s.view.loaded || s.view.index.next() < s.view.indexed+indexLagWindows {
 		return
 	}
 	ctx, cancel := s.callContext(store.PriorityBackground)
--- a/internal/claim/format.go
+++ b/internal/claim/format.go
@@ -10,16 +10,18 @@
 	"lynxhill.example/lynxhill/internal/store"
 )
 
-// format is what all instances must agree on, stored by the first of them.
+// format holds the parameters of the stored windows on which all instances must
+// agree. The first instance stores it.
 type format struct {
 	Shards int `json:"shards"`
 }
 
 const formatKey = keyPrefix + "format"
 
-// checkFormat refuses to use pages that were written with another number of
-// shards: every key would be looked for in the wrong shard, found unclaimed,
-// and run a second time. It reads the store once in the life of a process.
+// checkFormat returns an error if the stored windows were written with another
+// number of shards. With a different number, keys would be searched for in the
+// wrong shard, appear unclaimed, and run a second time. Once the check has
+// passed, the store is not read again for it.
 func (p *Pages) checkFormat(ctx context.Context) error {
 	if p.formatOK.Load() {
 		return nil
@@ -30,7 +32,7 @@
 		obj, err = p.opts.Store.Put(ctx, formatKey, encode(format{Shards: p.opts.Shards}), 0)
 	}
 	if err != nil {
-		return err // also after a conflict: the next attempt reads it
+		return err // also on a conflict: the next attempt reads the stored format
 	}
 	var stored format
 	if err := json.Unmarshal(obj.Value, &stored); err != nil {
@@ -38,7 +40,7 @@
 	}
 	if stored.Shards != p.opts.Shards {
 		p.opts.Logger.Log(event.ClaimFormat, "stored", stored.Shards, "settings", p.opts.Shards)
-		return fmt.Errorf("%w: pages have %d shards, the settings say %d", errInvalid, stored.Shards, p.opts.Shards)
+		return fmt.Errorf("%w: stored claim windows have %d shards, but the settings specify %d", errInvalid, stored.Shards, p.opts.Shards)
 	}
 	p.formatOK.Store(true)
 	return nil
--- a/internal/claim/forward.go
+++ b/internal/claim/forward.go
@@ -9,13 +9,14 @@
 	"lynxhill.example/lynxhill/internal/errkind"
 )
 
-// Message asks the preferred owner of a shard to record something, so that it
-// writes the records of many instances at once.
+// Message asks another instance, usually the preferred owner of a shard, to record
+// a claim, completion or release. The owner batches records of many instances into
+// one write.
 type Message struct {
-	Op       string          `json:"op"` // one of the MessageX constants
+	Op       string          `json:"op"` // one of the Message constants below
 	Key      Key             `json:"key"`
 	Body     string          `json:"body,omitempty"` // hash
-	Token    string          `json:"token"`          // of the attempt
+	Token    string          `json:"token"`          // identifies the attempt
 	Holder   string          `json:"holder"`         // instance that will run the stage
 	Deadline time.Time       `json:"deadline"`
 	Result   json.RawMessage `json:"result,omitempty"`
@@ -26,15 +27,15 @@
 	MessageClaim    = string(opClaim)
 	MessageComplete = string(opComplete)
 	MessageRelease  = string(opRelease)
-	// MessageKeepComplete and MessageKeepRelease hand over what an instance
-	// could not write. They are answered before they are written.
-	MessageKeepComplete = keepPrefix + MessageComplete
-	MessageKeepRelease  = keepPrefix + MessageRelease
+	// MessageTransferComplete and MessageTransferRelease transfer a record that the
+	// sender could not write. They are acknowledged before they are written.
+	MessageTransferComplete = transferPrefix + MessageComplete
+	MessageTransferRelease  = transferPrefix + MessageRelease
 )
 
-const keepPrefix = "keep-"
+const transferPrefix = "keep-"
 
-// Reply is the answer to a Message.
+// Reply is the response to a Message.
 type Reply struct {
 	State     State           `json:"state"`
 	Holder    string          `json:"holder,omitempty"`
@@ -42,29 +43,32 @@
 	HasResult bool            `json:"has_result,omitempty"`
 }
 
-// Forwarder carries a Message to Pages.Handle of another instance. Its errors
-// keep their errkind; any other error means that it is not known whether the
-// message arrived.
+// Forwarder sends a Message to Pages.Handle of another instance. Errors of Handle
+// keep their errkind; any other error means that it is unknown whether the message
+// arrived.
 type Forwarder interface {
 	ForwardClaim(ctx context.Context, instance string, m Message) (Reply, error)
 }
 
 // Timing of forwarding.
 const (
-	// forwardTimeout is how long an owner has to answer before the claim is
-	// written without it.
+	// forwardTimeout is the time limit for an owner's reply to a claim. After
+	// that, this instance writes the claim itself.
 	forwardTimeout = time.Second
-	// endWait is how long an owner tries to write a completion, which it may
-	// hold back for LazyInterval, before it leaves it to the sender as well.
+	// endWait is how long an owner waits for the write of a completion or release,
+	// including a delay of up to LazyInterval, before it returns an error. The
+	// sender then records it as well.
 	endWait = 1500 * time.Millisecond
-	// endTimeout is how long the sender waits for that answer.
+	// endTimeout is how long the sender waits for the reply to a completion or
+	// release.
 	endTimeout = 2 * time.Second
-	// avoidAfterFailure is how long nothing is forwarded to an instance that
-	// did not answer.
+	// avoidAfterFailure is how long no messages are forwarded to an instance that
+	// did not reply.
 	avoidAfterFailure = 5 * time.Second
 )
 
-// ownerOf returns the instance to forward to, "" to write here.
+// ownerOf returns the instance to which claims of the shard are forwarded, or ""
+// if this instance writes them itself.
 func (p *Pages) ownerOf(s *shard) string {
 	if p.opts.Forward == nil {
 		return ""
@@ -96,7 +100,7 @@
 	p.avoid[owner] = p.opts.Clock.Now().Add(avoidAfterFailure)
 }
 
-// forwardContext limits a forwarded message.
+// forwardContext returns ctx with a time limit for forwarding a message.
 func (p *Pages) forwardContext(ctx context.Context, limit time.Duration) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
 	timer := p.opts.Clock.AfterFunc(limit, cancel)
@@ -106,9 +110,9 @@
 	}
 }
 
-// claimAtOwner asks the owner for the claim. settled is false if the claim is
-// to be written here; certain says whether the owner certainly recorded
-// nothing.
+// claimAtOwner forwards the claim to the owner. If settled is true, answer and err
+// are the result. Otherwise this instance has to write the claim itself, and
+// certain says whether the owner certainly recorded nothing.
 func (p *Pages) claimAtOwner(ctx context.Context, s *shard, owner string, o *op, req Request) (answer Answer, settled, certain bool, err error) {
 	limit := p.opts.Clock.Now().Add(forwardTimeout)
 	if !req.Deadline.IsZero() && req.Deadline.Before(limit) {
@@ -135,35 +139,37 @@
 	return Answer{}, false, false, nil
 }
 
-// claimHereInstead writes the claim after the owner did not answer.
+// claimHereInstead writes the claim at this instance after the owner did not grant
+// or refuse it.
 //
-// The owner may have recorded the first attempt, or may do so yet, and may
-// release it when it notices that its caller is gone. So the first attempt is
-// never used: a claim that took it over could be released under the running
-// stage. The second attempt has a token of its own and replaces the first
-// where that stands, since this instance knows that it started nothing for it.
+// The owner may have recorded the first attempt, or may still do so, and it may
+// release that attempt when it notices that the caller no longer waits. Therefore
+// the first attempt is never used: its claim could be released while the stage is
+// running. The second attempt has its own token and replaces the first attempt if
+// that was recorded, which is safe because this instance did not dispatch the
+// stage for it.
 func (p *Pages) claimHereInstead(ctx context.Context, s *shard, first *op, req Request, certain bool) (Answer, error) {
 	e := first.entry
 	e.Token = p.token()
-	second := newOp(first.life, e)
+	second := newOp(first.lifetime, e)
 	second.supersedes = first.entry.Token
-	second.source = first.source
+	second.unhashed = first.unhashed
 	answer, _, err := p.submit(ctx, s, second, req)
 	if certain || err == nil || errkind.Is(err, errkind.KeyReused) {
 		return answer, err
 	}
-	release := releaseOf(first.entry, first.life, p.opts.Clock.Now())
-	release.source = first.source
+	release := releaseOf(first.entry, first.lifetime, p.opts.Clock.Now())
+	release.unhashed = first.unhashed
 	s.record(release)
 	return Answer{}, errkind.New(errkind.OutcomeUnknown, "the claim was not confirmed; the stage was not started")
 }
 
-// forwardEnd tells the owner that a claim has ended. If the owner does not
-// confirm that it is written, it is recorded here as well: the second of the
-// two changes nothing.
-func (c *granted) forwardEnd(o *op) {
+// forwardEnd forwards a completion or release to the owner. If the owner does not
+// confirm that it is written, this instance records it as well. That is
+// idempotent: the second of the two entries is not written.
+func (c *grantedClaim) forwardEnd(o *op) {
 	p := c.pages
-	defer p.ending.Add(-1)
+	defer p.forwardedEnds.Add(-1)
 	ctx, cancel := p.forwardContext(context.Background(), endTimeout)
 	defer cancel()
 	_, err := p.opts.Forward.ForwardClaim(ctx, c.owner, o.message(string(o.entry.Op)))
@@ -176,22 +182,22 @@
 	c.shard.record(o)
 }
 
-// Handle carries out a message of another instance.
+// Handle processes a message of another instance.
 func (p *Pages) Handle(ctx context.Context, m Message) (Reply, error) {
 	if p.draining.Load() {
 		return Reply{}, errkind.New(errkind.StoreUnavailable, "the instance is stopping")
 	}
 	now := p.opts.Clock.Now()
-	life, err := p.opts.lifeOf(m.Key.Key, now)
+	life, err := p.opts.lifetimeOf(m.Key.Key, now)
 	if err != nil {
 		return Reply{}, err
 	}
-	kind, handedOver := strings.CutPrefix(m.Op, keepPrefix)
+	kind, transferred := strings.CutPrefix(m.Op, transferPrefix)
 	o := newOp(life, entry{
 		ID: idOf(m.Key), Op: opKind(kind), Token: m.Token, Holder: m.Holder,
-		Body: shortHash(m.Body), At: millis(now), Keep: millis(life.keep),
+		Body: shortHash(m.Body), At: millis(now), Keep: millis(life.retainUntil),
 	})
-	o.source = source{key: m.Key, bodyHash: m.Body}
+	o.unhashed = unhashed{key: m.Key, bodyHash: m.Body}
 	s := p.shards[o.entry.ID.shard(p.opts.Shards)]
 	switch {
 	case m.Token == "" || m.Holder == "":
@@ -201,22 +207,22 @@
 	case o.entry.Op == opComplete && len(m.Result) <= p.opts.MaxResult:
 		o.entry.Result = m.Result
 		o.lazy = true
-		return Reply{State: Completed}, p.handleEnd(ctx, s, o, handedOver)
+		return Reply{State: Completed}, p.handleEnd(ctx, s, o, transferred)
 	case o.entry.Op == opRelease:
-		return Reply{}, p.handleEnd(ctx, s, o, handedOver)
+		return Reply{}, p.handleEnd(ctx, s, o, transferred)
 	}
 	return Reply{}, errkind.New(errkind.BadRequest, "unknown claim message")
 }
 
-// handleEnd records a completion or a release of another instance. An error
-// says that the sender still owes it. It returns when the record is written,
-// unless it is handed over because the store does not take it.
-func (p *Pages) handleEnd(ctx context.Context, s *shard, o *op, handedOver bool) error {
-	o.copied = handedOver
+// handleEnd records a completion or release for another instance. It returns nil
+// once the record is written or, for a transferred record, queued. On an error,
+// the sender is still responsible for the record.
+func (p *Pages) handleEnd(ctx context.Context, s *shard, o *op, transferred bool) error {
+	o.replicated = transferred
 	if !s.add(o) {
 		return errkind.New(errkind.StoreUnavailable, "too many claims wait for the store")
 	}
-	if handedOver {
+	if transferred {
 		return nil
 	}
 	timer := p.opts.Clock.NewTimer(endWait)
@@ -239,7 +245,8 @@
 		return Reply{}, err
 	}
 	if answer.State == Granted && ctx.Err() != nil {
-		// The reply will not arrive, so the claim would stay held for ever.
+		// The caller will not receive the reply, so the claim would never be
+		// completed or released.
 		answer.Claim.Release()
 		return Reply{}, ctx.Err()
 	}
--- a/internal/claim/history_test.go
+++ b/internal/claim/history_test.go
@@ -38,22 +38,22 @@
 	unknown bool // OutcomeUnknown
 }
 
-// history runs claimers at several instances under faults and records what
-// they did and were told.
+// history runs clients against several instances under faults and records their
+// operations and the results.
 type history struct {
-	rng    *rand.Rand // of the one goroutine that draws; each client has its own
+	rng    *rand.Rand // used by one goroutine only; each client has its own
 	st     *memstore.Store
 	claims int
-	// forward lets instances hand claims to the owners of shards.
+	// forward makes instances forward claims to the owners of shards.
 	forward   bool
 	instances int
 
-	mu     sync.Mutex // guards the fields below
-	pages  []*Pages
-	ops    []porcupine.Operation
-	live   map[string]int // grants that were not released, by key
-	broken []string
-	states map[string]int
+	mu           sync.Mutex // guards the fields below
+	pages        []*Pages
+	ops          []porcupine.Operation
+	live         map[string]int // number of grants not released, by key
+	grantedTwice []string
+	states       map[string]int
 }
 
 type historyConfig struct {
@@ -67,14 +67,14 @@
 }
 
 func (h *history) newPages(i int) *Pages {
-	paused := &pausingStore{Store: h.st, rng: rand.New(rand.NewPCG(h.rng.Uint64(), 4)), rate: 0.02}
+	paused := &pausingStore{Store: h.st, rng: rand.New(rand.NewPCG(h.rng.Uint64(), 4)), pauseRate: 0.02}
 	opts := PagesOptions{
 		Store: paused, Self: fmt.Sprint("i", i), Rand: rand.New(rand.NewPCG(h.rng.Uint64(), 5)), Shards: 2,
 		WindowBytes: 900, FlushInterval: 20 * time.Millisecond, LazyInterval: 200 * time.Millisecond, CacheBytes: 30_000,
 	}
 	if h.forward {
 		opts.Owners = func(shard int) string { return fmt.Sprint("i", shard%h.instances) }
-		opts.Forward = &badLink{history: h, rng: rand.New(rand.NewPCG(h.rng.Uint64(), 8))}
+		opts.Forward = &faultyForwarder{history: h, rng: rand.New(rand.NewPCG(h.rng.Uint64(), 8))}
 	}
 	return NewPages(opts)
 }
@@ -132,7 +132,7 @@
 
 func (h *history) client(rng *rand.Rand, number int, cfg historyConfig) {
 	for i := range cfg.claims {
-		// The keys move on, so that each key has a short history.
+		// The set of keys changes over time, so that each key has a short history.
 		key := fmt.Sprint(i/4, "-", rng.IntN(cfg.keys))
 		h.mu.Lock()
 		p := h.pages[rng.IntN(len(h.pages))]
@@ -152,7 +152,7 @@
 	out.unknown = errkind.Is(err, errkind.OutcomeUnknown)
 	in := histInput{key, histClaim, id}
 	if out.unknown {
-		// The claim may be written, and released, any time from now on.
+		// The claim may be written, and released, at any time from now on.
 		h.add(in, out, call, time.Time{})
 		h.add(histInput{key, histRelease, id}, histOutput{}, call, time.Time{})
 		return
@@ -171,7 +171,7 @@
 	case 2:
 		h.add(histInput{key, histComplete, id}, histOutput{}, time.Now(), time.Time{})
 		answer.Claim.Complete(nil)
-	default: // the holder dies
+	default: // the holder fails without ending the claim
 	}
 }
 
@@ -180,7 +180,7 @@
 	defer h.mu.Unlock()
 	h.live[key]++
 	if h.live[key] > 1 {
-		h.broken = append(h.broken, key)
+		h.grantedTwice = append(h.grantedTwice, key)
 	}
 }
 
@@ -190,8 +190,8 @@
 	h.live[key]--
 }
 
-// add records an operation; a zero end is one that may take effect at any
-// later time.
+// add records an operation. If end is zero, the operation may take effect at any
+// time after call.
 func (h *history) add(in histInput, out histOutput, call, end time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -205,15 +205,16 @@
 	}
 }
 
-// claimState is a key in the model: free, held by a claim, or completed.
+// claimState is the state of a key in the model: free, held by a claim, or
+// completed.
 type claimState struct {
 	holder    int // 0: free
 	completed bool
 }
 
-// claimModel is the record as a caller may take it to be: one place at which
-// each claim happens at a moment between call and answer. Releases and
-// completions are written later or, when the instance dies first, never.
+// claimModel is the sequential specification of a key: each claim takes effect at
+// one moment between its call and its return. Releases and completions take effect
+// at some later time or, if the instance fails first, never.
 func claimModel() porcupine.Model {
 	model := porcupine.NondeterministicModel{
 		Partition: partitionByKey,
@@ -263,16 +264,15 @@
 	return parts
 }
 
-// Symptom: one booking is made twice, or a resend is told that a free key is
-// held. Events: several instances claim the same keys while replies are lost,
-// writers pause between decision and write, the store is down, slow or
-// throttles, and instances restart without memory. Cause: a grant that does
-// not rest on the condition of a write.
+// Guards against grants that do not depend on a conditional write: a claim would be
+// granted twice, or a free key be reported as held. Several instances claim the
+// same keys while replies are lost, writers pause between decision and write, the
+// store is down, slow or throttling, and instances restart without their memory.
 func TestClaimsAreLinearizable(t *testing.T) {
 	for seed := range uint64(12) {
 		h := runHistory(t, historyConfig{seed: seed, instances: 3, clients: 5, claims: 80, keys: 4, faults: true, forward: seed%2 == 1})
-		if len(h.broken) > 0 {
-			t.Errorf("seed %d: granted twice: %v", seed, h.broken)
+		if len(h.grantedTwice) > 0 {
+			t.Errorf("seed %d: granted twice: %v", seed, h.grantedTwice)
 		}
 		if result := porcupine.CheckOperationsTimeout(claimModel(), h.ops, 20*time.Second); result != porcupine.Ok {
 			t.Errorf("seed %d: history is %v", seed, result)
@@ -281,7 +281,8 @@
 	}
 }
 
-// The same over drawn shapes, with thousands of operations.
+// Checks that no key is granted twice for random numbers of instances, clients and
+// keys, with thousands of operations.
 func TestAtMostOneGrant(t *testing.T) {
 	params := gopter.DefaultTestParametersWithSeed(20)
 	params.MinSuccessfulTests = 10
@@ -291,7 +292,7 @@
 		func(seed uint64, instances, clients, keys int, forward bool) bool {
 			h := runHistory(t, historyConfig{seed: seed, instances: instances, clients: clients, claims: 120, keys: keys, faults: true, forward: forward})
 			total += len(h.ops)
-			return len(h.broken) == 0
+			return len(h.grantedTwice) == 0
 		},
 		gen.UInt64(), gen.IntRange(1, 6), gen.IntRange(2, 12), gen.IntRange(1, 20), gen.Bool(),
 	))
--- a/internal/claim/key.go
+++ b/internal/claim/key.go
@@ -11,8 +11,8 @@
 	"lynxhill.example/lynxhill/internal/errkind"
 )
 
-// keyID stands for a Key. It is a cut cryptographic hash: two keys that a
-// caller could make collide would share one claim.
+// keyID is a fixed-size identifier of a Key. It is a truncated cryptographic
+// hash, because keys that a caller could make collide would share one claim.
 type keyID [16]byte
 
 func idOf(key Key) keyID {
@@ -50,51 +50,52 @@
 	return int(binary.BigEndian.Uint64(id[:8]) % uint64(shards))
 }
 
-// shortHash cuts the hash of a body to what the record keeps.
+// shortHash shortens the hash of a body to the form that entries store.
 func shortHash(bodyHash string) string {
 	sum := sha256.Sum256([]byte(bodyHash))
 	return base64.RawURLEncoding.EncodeToString(sum[:9])
 }
 
-// keyLife says when a key may have been claimed first, and until when it is
-// remembered.
-type keyLife struct {
-	// notBefore is the earliest time of a claim with the key; zero for a key
-	// that carries no time.
-	notBefore time.Time
-	expires   time.Time // no claim from here on; zero for a key without time
-	keep      time.Time // the record is kept until here
+// keyLifetime is the period in which a key may be claimed and the time until which
+// its record is retained.
+type keyLifetime struct {
+	// notBefore is the earliest time at which the key can have been claimed; zero
+	// for a key without a timestamp.
+	notBefore   time.Time
+	expires     time.Time // claims are refused from this time on; zero for a key without a timestamp
+	retainUntil time.Time // the record is retained until this time
 }
 
-// lifeOf reads the time out of the key. It returns KeyExpired for a key past
-// its retention, and BadRequest for one from the future: such a key's claim
-// could be looked for in the wrong windows.
-func (o *PagesOptions) lifeOf(key string, now time.Time) (keyLife, error) {
+// lifetimeOf derives the lifetime from the timestamp in the key, if it has one. It
+// returns KeyExpired for a key past its retention, and BadRequest for one whose
+// timestamp is in the future, since a later lookup could search the wrong
+// windows for the claim of such a key.
+func (o *PagesOptions) lifetimeOf(key string, now time.Time) (keyLifetime, error) {
 	if t, ok := ticketOfKey(key); ok {
-		return o.timed(t.issuedAt(), t.expiresAt(), now)
+		return o.lifetimeBetween(t.issuedAt(), t.expiresAt(), now)
 	}
 	if at, ok := timeOfUUID(key); ok {
-		return o.timed(at, at.Add(o.Retention), now)
+		return o.lifetimeBetween(at, at.Add(o.Retention), now)
 	}
-	return keyLife{keep: now.Add(o.OpaqueRetention)}, nil
+	return keyLifetime{retainUntil: now.Add(o.OpaqueRetention)}, nil
 }
 
-func (o *PagesOptions) timed(at, expires, now time.Time) (keyLife, error) {
+func (o *PagesOptions) lifetimeBetween(at, expires, now time.Time) (keyLifetime, error) {
 	if !now.Before(expires) {
-		return keyLife{}, errkind.New(errkind.KeyExpired, "the key's time is past its retention")
+		return keyLifetime{}, errkind.New(errkind.KeyExpired, "the key's time is past its retention")
 	}
 	if at.After(now.Add(o.MaxSkew)) || expires.After(now.Add(o.MaxSkew+o.OpaqueRetention)) {
-		return keyLife{}, errkind.New(errkind.BadRequest, "the key's time is in the future")
+		return keyLifetime{}, errkind.New(errkind.BadRequest, "the key's time is in the future")
 	}
-	return keyLife{notBefore: at.Add(-o.MaxSkew), expires: expires, keep: expires}, nil
+	return keyLifetime{notBefore: at.Add(-o.MaxSkew), expires: expires, retainUntil: expires}, nil
 }
 
-// canonicalUUID is the length of a UUID in its usual form.
-const canonicalUUID = 36
+// uuidTextLength is the length of a UUID in its canonical text form, in bytes.
+const uuidTextLength = 36
 
-// timeOfUUID returns the time in a UUID of version 7.
+// timeOfUUID returns the timestamp of a version 7 UUID.
 func timeOfUUID(key string) (time.Time, bool) {
-	if len(key) != canonicalUUID {
+	if len(key) != uuidTextLength {
 		return time.Time{}, false
 	}
 	id, err := uuid.Parse(key)
--- a/internal/claim/op.go
+++ b/internal/claim/op.go
@@ -8,59 +8,60 @@
 	"lynxhill.example/lynxhill/internal/errkind"
 )
 
-// opResult is what an op comes to.
+// opResult is the outcome of an op.
 type opResult struct {
 	answer Answer
 	found  bool
 	err    error
 }
 
-// op is a claim, a completion, a release or a lookup on its way through its
+// op is a claim, a completion, a release or a lookup that is processed by its
 // shard's flush loop.
 type op struct {
-	entry entry
-	life  keyLife
-	// supersedes is the token of an attempt of the same request that this
-	// instance handed to an owner and gave up; its claim may be replaced.
+	entry    entry
+	lifetime keyLifetime
+	// supersedes is the token of an earlier attempt of the same request, which
+	// this instance forwarded to an owner and abandoned. A claim with that token
+	// may be replaced.
 	supersedes string
-	source     source
-	lazy       bool // may wait for another write to ride on
-	// copied says that another instance has a copy, or is one. Used by the flush
-	// loop alone once the op is queued.
-	copied bool
-	due    time.Time
-	done   chan struct{} // closed when result is set
-	// onWrite is the result if the write of the last plan succeeds; used by the
-	// flush loop alone.
+	unhashed   unhashed
+	lazy       bool // may be delayed to share a write with other ops
+	// replicated says that another instance has a copy of the op, or that this op
+	// is such a copy. Only the flush loop uses it once the op is queued.
+	replicated bool
+	due        time.Time
+	done       chan struct{} // closed when result is set
+	// onWrite is the result if the write of the last plan succeeds. Only the
+	// flush loop uses it.
 	onWrite opResult
 
 	// Guarded by the shard's mu.
 	result    opResult
 	finished  bool
-	abandoned bool // the caller has gone; nobody will dispatch
-	inDoubt   bool // part of a write whose outcome is not known yet
+	abandoned bool // the caller no longer waits; the stage will not be dispatched
+	inDoubt   bool // part of a write whose outcome is unknown so far
 }
 
-// source is what an entry holds only as hashes. It lets another instance make
-// the same entry.
-type source struct {
+// unhashed holds the values that an entry stores only as hashes. Another
+// instance needs them to create the same entry.
+type unhashed struct {
 	key      Key
 	bodyHash string
 }
 
-// message is the op as it is sent to another instance.
+// message returns the op in the form in which it is sent to another instance.
 func (o *op) message(kind string) Message {
 	return Message{
-		Op: kind, Key: o.source.key, Body: o.source.bodyHash,
+		Op: kind, Key: o.unhashed.key, Body: o.unhashed.bodyHash,
 		Token: o.entry.Token, Holder: o.entry.Holder, Result: o.entry.Result,
 	}
 }
 
-func newOp(life keyLife, e entry) *op {
-	return &op{entry: e, life: life, done: make(chan struct{})}
+func newOp(life keyLifetime, e entry) *op {
+	return &op{entry: e, lifetime: life, done: make(chan struct{})}
 }
 
-// finish sets the result. The shard's mu is held.
+// finish sets the result if it is not set yet. The caller holds the shard's mu.
 func (o *op) finish(r opResult) {
 	if o.finished {
 		return
@@ -70,14 +71,14 @@
 	close(o.done)
 }
 
-// abandon gives up an op whose caller's time is over.
+// abandon ends the wait for an op after the caller's deadline or cancellation.
 //
-// If a write that holds it is under way or its reply was lost, the claim may
-// stand in the store. Nothing was dispatched for it and nothing will be, but
-// only this instance knows that: the op stays with the flush loop, which
-// settles the write and then records a release. Until that is written, a
-// resend finds the key held; so the caller is told outcome_unknown, not that
-// nothing was claimed.
+// If a write that contains the op is in progress or its reply was lost, the
+// claim may be in the store. The stage was not dispatched for it and will not
+// be, but only this instance knows that. Therefore the op stays with the flush
+// loop, which resolves the write and then records a release. Until the release
+// is written, a retry finds the key held, so the caller gets OutcomeUnknown
+// instead of StoreUnavailable, which means that nothing is claimed.
 func (s *shard) abandon(o *op) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -98,29 +99,30 @@
 	return o.result
 }
 
-// granted is a claim that this instance holds.
-type granted struct {
-	pages *Pages
-	shard *shard
-	entry entry
-	life  keyLife
-	req   Request
-	owner string // instance that wrote the claim; "" for this one
-	ended atomic.Bool
+// grantedClaim is a claim, recorded in the store, that this instance holds.
+type grantedClaim struct {
+	pages    *Pages
+	shard    *shard
+	entry    entry
+	lifetime keyLifetime
+	req      Request
+	owner    string // instance that wrote the claim; "" for this instance
+	ended    atomic.Bool
 }
 
-// end records that the claim has ended.
-func (c *granted) end(o *op) {
+// end records a completion or release of the claim, at the instance that wrote
+// the claim.
+func (c *grantedClaim) end(o *op) {
 	if c.owner == "" {
 		c.shard.record(o)
 		return
 	}
-	c.pages.ending.Add(1)
+	c.pages.forwardedEnds.Add(1)
 	go c.forwardEnd(o)
 }
 
 // Complete implements Claim.
-func (c *granted) Complete(output json.RawMessage) {
+func (c *grantedClaim) Complete(output json.RawMessage) {
 	if c.ended.Swap(true) {
 		return
 	}
@@ -130,25 +132,25 @@
 	if len(output) <= c.pages.opts.MaxResult && json.Valid(output) {
 		e.Result = output
 	}
-	o := newOp(c.life, e)
+	o := newOp(c.lifetime, e)
 	o.lazy = true
-	o.source = c.source()
+	o.unhashed = c.unhashed()
 	c.end(o)
 }
 
 // Release implements Claim.
-func (c *granted) Release() {
+func (c *grantedClaim) Release() {
 	if c.ended.Swap(true) {
 		return
 	}
-	o := releaseOf(c.entry, c.life, c.pages.opts.Clock.Now())
-	o.source = c.source()
+	o := releaseOf(c.entry, c.lifetime, c.pages.opts.Clock.Now())
+	o.unhashed = c.unhashed()
 	c.end(o)
 }
 
-func (c *granted) source() source { return source{key: c.req.Key, bodyHash: c.req.BodyHash} }
+func (c *grantedClaim) unhashed() unhashed { return unhashed{key: c.req.Key, bodyHash: c.req.BodyHash} }
 
-func releaseOf(e entry, life keyLife, now time.Time) *op {
+func releaseOf(e entry, life keyLifetime, now time.Time) *op {
 	e.Op = opRelease
 	e.At = millis(now)
 	return newOp(life, e)
--- a/internal/claim/page.go
+++ b/internal/claim/page.go
@@ -7,53 +7,56 @@
 	"time"
 )
 
-// errInvalid means that an object below claims/ is not one of ours.
+// errInvalid means that an object under claims/, or a ticket or key identifier,
+// is malformed.
 var errInvalid = errors.New("claim: invalid object")
 
-// opKind is what an entry records.
+// opKind is the kind of an op and of the entry that records it.
 type opKind string
 
 const (
 	opClaim    opKind = "c"
-	opComplete opKind = "d" // done
+	opComplete opKind = "d"
 	opRelease  opKind = "r"
-	opLookup   opKind = "?" // reads only; never stored
+	opLookup   opKind = "?" // reads only, never stored
 )
 
-// entry is one record in a window. Entries are only ever appended; the last
-// one of a key counts. The names are short since every write carries the
-// whole window.
+// entry is one record in a window. Entries are append-only, and the last entry
+// of a key determines its state. The JSON names are short because every write
+// contains the whole window.
 type entry struct {
 	ID     keyID           `json:"k"`
 	Op     opKind          `json:"o"`
-	Token  string          `json:"t"`           // of the attempt that claimed
-	Holder string          `json:"h,omitempty"` // instance that claimed
+	Token  string          `json:"t"`           // identifies the attempt that claimed the key
+	Holder string          `json:"h,omitempty"` // instance that claimed the key
 	Body   string          `json:"b,omitempty"` // shortHash of the body
-	At     int64           `json:"a"`           // ms since the epoch, by the writer's clock
-	Keep   int64           `json:"u"`           // ms since the epoch: not removed before
+	At     int64           `json:"a"`           // ms since the epoch, by the clock of the instance that created the entry
+	Keep   int64           `json:"u"`           // ms since the epoch; the entry is retained until then
 	Result json.RawMessage `json:"r,omitempty"`
 }
 
 // page is the stored form of a window.
 type page struct {
-	// Sealed says that no entry will be added: the shard goes on in the window
-	// with the next number. It never turns false again.
+	// Sealed means that no more entries are appended to this window; the shard
+	// continues in the window with the next number. A sealed window is never
+	// unsealed.
 	Sealed  bool    `json:"sealed,omitempty"`
 	Entries []entry `json:"entries"`
 }
 
-// indexEntry tells of a sealed window without reading it. The names are short
-// since an index lists thousands at size.
+// indexEntry summarises a sealed window so that it need not be read. The JSON
+// names are short because the index of a large deployment lists thousands of
+// windows.
 type indexEntry struct {
-	Last int64 `json:"l"` // ms: no claim in it is later
-	Keep int64 `json:"k"` // ms: not removed before
+	Last int64 `json:"l"` // ms since the epoch of the latest entry
+	Keep int64 `json:"k"` // ms since the epoch; the window is retained until then
 }
 
-// index lists the sealed windows of a shard. It may lag behind them; it never
-// lists one that is not sealed.
+// index lists the sealed windows of a shard. Recently sealed windows may be
+// missing from it; it never lists a window that is not sealed.
 type index struct {
-	First   uint64       `json:"first"`   // windows below are removed
-	Windows []indexEntry `json:"windows"` // of the numbers from First on
+	First   uint64       `json:"first"`   // number of the first listed window; lower ones have been removed
+	Windows []indexEntry `json:"windows"` // consecutive numbers from First on
 }
 
 const (
@@ -93,10 +96,11 @@
 	return x, nil
 }
 
-// next is the number of the first window that the index does not list.
+// next returns the number of the first window after those that the index lists.
 func (x *index) next() uint64 { return x.First + uint64(len(x.Windows)) }
 
-// encode cannot fail: results were valid JSON before they came here.
+// encode marshals a stored value. It panics on an error, which cannot occur: the
+// results in entries have been checked to be valid JSON.
 func encode(v any) []byte {
 	value, err := json.Marshal(v)
 	if err != nil {
@@ -105,13 +109,14 @@
 	return value
 }
 
-// window is a page in memory, with the last entry of each key.
+// window is a decoded page with its number, its version in the store, and the
+// last entry of each key.
 type window struct {
 	number  uint64
-	version uint64 // 0: not created yet
+	version uint64 // 0 if it has not been created yet
 	page    page
 	last    map[keyID]entry
-	size    int // bytes of its stored form
+	size    int // size of the stored form in bytes
 }
 
 func emptyWindow(number uint64) *window {
@@ -134,14 +139,15 @@
 	return w
 }
 
-// with returns a copy of the window with entries appended.
+// with returns a copy of the window's page with the entries appended.
 func (w *window) with(entries []entry, sealed bool) page {
 	all := make([]entry, 0, len(w.page.Entries)+len(entries))
 	all = append(all, w.page.Entries...)
 	return page{Sealed: sealed, Entries: append(all, entries...)}
 }
 
-// has reports whether the window holds the entry of an attempt.
+// has reports whether the window contains an entry of the given kind for the
+// attempt with the token.
 func (w *window) has(op opKind, token string) bool {
 	for _, e := range w.page.Entries {
 		if e.Token == token && e.Op == op {
--- a/internal/claim/pages.go
+++ b/internal/claim/pages.go
@@ -32,44 +32,49 @@
 	DefaultMaxResult       = 2 << 10
 	DefaultCacheBytes      = 48 << 20
 	DefaultMaxPending      = 20_000
-	// removalMargin is how long a window outlasts its retention, so that an
-	// instance whose clock is late still finds it.
+	// removalMargin is how long a window is kept beyond its retention, so that an
+	// instance whose clock is behind still finds it.
 	removalMargin = 10 * time.Minute
 )
 
-// PagesOptions configures Pages. Zero values take the defaults. All instances
+// PagesOptions configures Pages. Zero values select the defaults. All instances
 // must agree on Shards, Retention, OpaqueRetention and MaxSkew.
 type PagesOptions struct {
-	Store  store.Store
-	Clock  clock.Clock
-	Rand   *rand.Rand // used by Pages alone
-	Self   string     // id of this instance
+	Store store.Store
+	Clock clock.Clock
+	Rand  *rand.Rand // must not be used elsewhere; Pages serialises access
+	Self  string     // id of this instance
+	// Owners returns the preferred owner of a shard. By default, this is Self.
 	Owners func(shard int) string
 	Shards int
-	// WindowBytes is the size at which a window is sealed.
+	// WindowBytes is the stored size above which a window is sealed.
 	WindowBytes int
-	// FlushInterval is the least time between two writes of a shard by this
-	// instance, on average: after a pause a few may follow one another at once.
+	// FlushInterval is the minimum average time between writes of a shard by
+	// this instance. After an idle period, a burst of writeBurst writes is
+	// allowed.
 	FlushInterval time.Duration
-	// Retention of keys that carry their time (UUIDv7).
+	// Retention is how long a key that contains its creation time (UUIDv7) is
+	// remembered.
 	Retention time.Duration
 	Logger    *event.Logger
 	Metrics   *metrics.Registry
 
-	// Forward, if set, carries claims to the shard's preferred owner, which
-	// groups those of many instances into one write. Nil: written here.
+	// Forward, if set, sends claims to the shard's preferred owner, which batches
+	// claims of many instances into one write. If nil, this instance writes them
+	// itself.
 	Forward Forwarder
-	// Peers returns the other living instances, the preferred ones first. At
-	// its end Pages hands them what the store did not take. Nil: none.
+	// Peers returns the other live instances in order of preference. They receive
+	// copies of completions and releases that cannot be written to the store. If
+	// nil, there are none.
 	Peers func() []string
-	// OpaqueRetention is how long a key without a time is remembered; sent
-	// again later, it runs a second time.
+	// OpaqueRetention is how long a key without a timestamp is remembered. A
+	// retry after that time runs the stage a second time.
 	OpaqueRetention time.Duration
-	MaxSkew         time.Duration // how far a caller's clock may be ahead
-	LazyInterval    time.Duration // how long a completion waits for a write to ride on
-	MaxResult       int           // bytes of output kept with a completion
-	CacheBytes      int           // memory of the sealed windows that are kept
-	MaxPending      int           // claims and records that wait for the store
+	MaxSkew         time.Duration // how far a caller's clock may be ahead of an instance's clock
+	LazyInterval    time.Duration // how long a completion is delayed to share a write with other records
+	MaxResult       int           // limit on the output retained with a completion, in bytes
+	CacheBytes      int           // memory limit of the cache of sealed windows
+	MaxPending      int           // limit on claims, completions and releases that wait for the store
 }
 
 func (o *PagesOptions) setDefaults() {
@@ -107,26 +112,30 @@
 	metricPending   = metrics.Define("claim_pending", "records", "Claims, completions and releases that wait for the store.")
 )
 
-// Pages holds claims in windows in the platform's store. The guarantee is the
-// condition on the version of each write: a claim is granted only by a write
-// on top of exactly the content in which the key was looked for.
+// Pages records claims in the platform's store. The keys are divided into shards;
+// each shard is a sequence of windows, of which only the last one is appended to.
+// At most one claim of a key is granted because every write is conditional on the
+// window's version: a claim is granted only by a write on top of exactly the
+// content in which the key was searched for.
 type Pages struct {
 	opts   PagesOptions
 	shards []*shard
 	cache  *windowCache
 	stop   chan struct{} // closed when Run ends
-	// draining is set when this instance stops: it takes no more messages.
+	// draining is set when this instance stops; from then on, Handle refuses
+	// messages.
 	draining atomic.Bool
-	// formatOK is set when the store's pages are known to have our shards.
+	// formatOK is set once checkFormat has passed.
 	formatOK atomic.Bool
-	// ending counts the completions and releases on their way to an owner.
-	ending atomic.Int64
-	once   sync.Once
+	// forwardedEnds counts the completions and releases that are being forwarded to
+	// an owner.
+	forwardedEnds atomic.Int64
+	once          sync.Once
 
 	randMu sync.Mutex // guards opts.Rand
 
 	avoidMu sync.Mutex           // guards avoid
-	avoid   map[string]time.Time // owners that did not answer, and until when
+	avoid   map[string]time.Time // owners that did not answer, with the end of the time in which they are avoided
 
 	granted   *expvar.Int
 	held      *expvar.Int
@@ -137,8 +146,9 @@
 	pending   *expvar.Int
 }
 
-// NewPages returns a Claimer. It works before Run is called; Run removes old
-// windows, and ends the writing when it ends.
+// NewPages returns a Claimer that records claims in the platform's store. It is
+// usable before Run is called; Run removes expired windows and, when it returns,
+// stops all writes.
 func NewPages(opts PagesOptions) *Pages {
 	opts.setDefaults()
 	p := &Pages{
@@ -163,16 +173,16 @@
 // Claim implements Claimer.
 func (p *Pages) Claim(ctx context.Context, req Request) (Answer, error) {
 	now := p.opts.Clock.Now()
-	life, err := p.opts.lifeOf(req.Key.Key, now)
+	life, err := p.opts.lifetimeOf(req.Key.Key, now)
 	if err != nil {
 		return Answer{}, err
 	}
 	id := idOf(req.Key)
 	o := newOp(life, entry{
 		ID: id, Op: opClaim, Token: p.token(), Holder: p.opts.Self,
-		Body: shortHash(req.BodyHash), At: millis(now), Keep: millis(life.keep),
+		Body: shortHash(req.BodyHash), At: millis(now), Keep: millis(life.retainUntil),
 	})
-	o.source = source{key: req.Key, bodyHash: req.BodyHash}
+	o.unhashed = unhashed{key: req.Key, bodyHash: req.BodyHash}
 	s := p.shards[id.shard(p.opts.Shards)]
 	owner := p.ownerOf(s)
 	if owner == "" {
@@ -188,7 +198,7 @@
 
 // Lookup implements Claimer.
 func (p *Pages) Lookup(ctx context.Context, key Key) (Answer, bool, error) {
-	life, err := p.opts.lifeOf(key.Key, p.opts.Clock.Now())
+	life, err := p.opts.lifetimeOf(key.Key, p.opts.Clock.Now())
 	if err != nil {
 		return Answer{}, false, err
 	}
@@ -196,8 +206,8 @@
 	return p.submit(ctx, p.shards[o.entry.ID.shard(p.opts.Shards)], o, Request{Key: key})
 }
 
-// submit hands the op to its shard and waits for the answer until ctx or the
-// deadline ends.
+// submit queues the op at its shard and waits for the result until ctx ends or
+// the deadline passes.
 func (p *Pages) submit(ctx context.Context, s *shard, o *op, req Request) (Answer, bool, error) {
 	if !s.add(o) {
 		return Answer{}, false, errkind.New(errkind.StoreUnavailable, "too many claims wait for the store")
@@ -225,16 +235,17 @@
 	return result.answer, result.found, nil
 }
 
-// grant hands out a claim unless its request is past its deadline, which
-// happens when this process was paused while the write was under way. owner is
-// the instance that wrote it, "" for this one.
+// grant returns the claim to the caller. If the deadline has passed, for example
+// because the process was paused during the write, it releases the claim and
+// returns an error instead. owner is the instance that wrote the claim, "" for
+// this instance.
 func (p *Pages) grant(s *shard, o *op, req Request, owner string) (Answer, bool, error) {
-	c := &granted{pages: p, shard: s, entry: o.entry, life: o.life, req: req, owner: owner}
+	c := &grantedClaim{pages: p, shard: s, entry: o.entry, lifetime: o.lifetime, req: req, owner: owner}
 	if !req.Deadline.IsZero() && millis(p.opts.Clock.Now()) >= millis(req.Deadline) {
 		c.Release()
 		return Answer{}, false, errkind.New(errkind.StoreUnavailable, "the claim was written after the deadline and is given up")
 	}
-	if o.entry.Holder == p.opts.Self { // an owner's grants are counted by their holders
+	if o.entry.Holder == p.opts.Self { // a forwarded grant is counted by its holder only
 		p.granted.Add(1)
 	}
 	return Answer{State: Granted, Holder: o.entry.Holder, Claim: c}, true, nil
@@ -249,7 +260,7 @@
 	return base64.RawURLEncoding.EncodeToString(raw[:])
 }
 
-// jitter returns a random time up to limit.
+// jitter returns a random duration in [0, limit).
 func (p *Pages) jitter(limit time.Duration) time.Duration {
 	p.randMu.Lock()
 	defer p.randMu.Unlock()
--- a/internal/claim/pages_test.go
+++ b/internal/claim/pages_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// mustState claims and checks the state.
+// mustState claims the key and checks the resulting state.
 func mustState(t *testing.T, c Claimer, req Request, want State) Answer {
 	t.Helper()
 	answer, err := c.Claim(t.Context(), req)
@@ -49,8 +49,8 @@
 	}
 }
 
-// currentOf returns the current window of the only shard, once its flush loop,
-// which owns it, is at rest.
+// currentOf returns the current window of the first shard once its flush loop,
+// which owns the window, is blocked or has ended.
 func currentOf(p *Pages) *window {
 	synctest.Wait()
 	return p.shards[0].view.current
@@ -68,7 +68,7 @@
 		first.Claim.Release()
 		time.Sleep(time.Second)
 		second := mustState(t, b, testRequest("k", "x", time.Second), Granted)
-		first.Claim.Complete(json.RawMessage(`"late"`)) // of a claim that was released
+		first.Claim.Complete(json.RawMessage(`"late"`)) // the claim has been released already
 		second.Claim.Complete(json.RawMessage(`"done"`))
 		time.Sleep(3 * time.Second)
 		done := mustState(t, a, testRequest("k", "x", time.Second), Completed)
@@ -86,9 +86,9 @@
 	})
 }
 
-// Symptom: a booking is made twice. Events: its claim stands in a window that
-// was sealed long ago; an instance without memory of it gets the resend.
-// Cause: only the current window is looked at.
+// Guards against a lookup that searches only the current window: a claim in a
+// window that was sealed long ago would be granted again by an instance that does
+// not have that window in its cache.
 func TestSealedWindowsAreLookedAt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		st := memstore.New(memstore.Options{})
@@ -112,8 +112,8 @@
 	})
 }
 
-// Symptom: after an outage of the store, callers that were refused find their
-// keys held for good. Events: no write got through before the deadline.
+// Guards against keys that stay held after a store outage in which no write
+// succeeded before the caller's deadline.
 func TestStoreDownMeansNothingClaimed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		st := memstore.New(memstore.Options{})
@@ -132,9 +132,9 @@
 	})
 }
 
-// Symptom: a caller is told that nothing was claimed, and its resend finds the
-// key held for ever. Events: the write takes effect after the caller's
-// deadline. Cause: the claim is forgotten with its caller.
+// Guards against a claim whose write takes effect after the caller's deadline and
+// is never released: the caller's error would say that nothing was claimed, but its
+// retries would find the key held.
 func TestLateWriteIsReleased(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		st := memstore.New(memstore.Options{})
@@ -176,8 +176,9 @@
 	})
 }
 
-// Symptom: the platform's store fills up, or a key runs again within its
-// retention. Cause: old windows stay, or one is removed too early.
+// Guards against old windows that are never removed, which would fill the store,
+// and against windows that are removed before the end of their retention, which
+// would let a key run again.
 func TestOldWindowsAreRemoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
--- a/internal/claim/retire.go
+++ b/internal/claim/removal.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	// removalInterval is how often the owner of a shard looks for windows past
-	// their retention.
+	// removalInterval is the average interval at which the owner of a shard
+	// removes windows past their retention.
 	removalInterval = 10 * time.Minute
 )
 
-// Run removes old windows of the shards that this instance is the preferred
-// owner of, until ctx ends. Then it drains for some seconds and stops the flush
-// loops; later claims get StoreUnavailable at their deadline.
+// Run periodically removes expired windows of the shards whose preferred owner is
+// this instance. When ctx ends, it drains for some seconds (see Drain) and stops
+// the flush loops; later claims fail with StoreUnavailable at their deadline.
 func (p *Pages) Run(ctx context.Context) {
 	defer p.once.Do(func() { close(p.stop) })
 	for {
@@ -25,31 +25,31 @@
 		select {
 		case <-ctx.Done():
 			timer.Stop()
-			p.drainAtEnd()
+			p.drainOnExit()
 			return
 		case <-timer.C:
-			p.removeOld(ctx)
+			p.removeExpired(ctx)
 		}
 	}
 }
 
-func (p *Pages) removeOld(ctx context.Context) {
+func (p *Pages) removeExpired(ctx context.Context) {
 	ctx = store.WithPriority(ctx, store.PriorityBackground)
 	for shard := range p.shards {
 		if p.opts.Owners(shard) != p.opts.Self {
 			continue
 		}
-		if err := p.removeOldOf(ctx, shard); err != nil {
+		if err := p.removeExpiredOf(ctx, shard); err != nil {
 			p.errors.Add(1)
 		}
 	}
 }
 
-// removeOldOf removes the oldest windows of a shard as long as they are past
-// their retention. It deletes first and then shortens the index, so that no
-// object is left behind when it is interrupted; a window past its retention
-// is not read by anybody.
-func (p *Pages) removeOldOf(ctx context.Context, shard int) error {
+// removeExpiredOf removes the leading windows of a shard that are past their
+// retention. It deletes the windows before it shortens the index, so that no
+// object is orphaned if it is interrupted. Windows past their retention are not
+// read by any instance.
+func (p *Pages) removeExpiredOf(ctx context.Context, shard int) error {
 	obj, err := p.opts.Store.Get(ctx, indexKey(shard))
 	if errors.Is(err, store.ErrNotFound) {
 		return nil
--- a/internal/claim/router.go
+++ b/internal/claim/router.go
@@ -12,10 +12,10 @@
 	tickets *Tickets
 }
 
-// NewRouter returns a Claimer that holds keys minted under a ticket (see
-// MintKey) in memory and all others in the platform's pages. A ticket that
-// comes beside a plain key does not count: the same key might come again with
-// another ticket, or with none.
+// NewRouter returns a Claimer that claims keys minted under a ticket (see MintKey)
+// in memory and all other keys in the platform's store. A ticket sent in addition
+// to a plain key is ignored, since the same key might be sent again with another
+// ticket or without one.
 func NewRouter(pages *Pages, tickets *Tickets) Claimer {
 	return &router{pages: pages, tickets: tickets}
 }
@@ -44,13 +44,14 @@
 	return answer, found, err
 }
 
-// lookupPages looks for a key that its home may have taken to the pages. Not
-// found there means only that its home, if it was another incarnation, did
-// not overflow.
-func (r *router) lookupPages(ctx context.Context, key Key, homeErr error) (Answer, bool, error) {
+// lookupPages looks up in the store a key whose issuer may have claimed it there
+// because its memory was full. If the key is not found, lookupPages returns
+// issuerErr: if the issuer is another incarnation, the missing record shows only
+// that the key was not claimed in the store, not that it was not claimed in memory.
+func (r *router) lookupPages(ctx context.Context, key Key, issuerErr error) (Answer, bool, error) {
 	answer, found, err := r.pages.Lookup(ctx, key)
 	if err != nil || found {
 		return answer, found, err
 	}
-	return Answer{}, false, homeErr
+	return Answer{}, false, issuerErr
 }
--- a/internal/claim/shard.go
+++ b/internal/claim/shard.go
@@ -8,8 +8,8 @@
 	"lynxhill.example/lynxhill/internal/event"
 )
 
-// shard is a part of the keys. Its flush loop, a goroutine that lives while
-// there is something to write, is the only one that uses view.
+// shard holds a partition of the keys. Only its flush loop, a goroutine that runs
+// while there are pending ops, uses view.
 type shard struct {
 	pages  *Pages
 	number int
@@ -19,17 +19,18 @@
 	pending  []*op
 	batch    []*op // taken from pending by the flush loop; some may be finished
 	flushing bool
-	wake     chan struct{} // buffered: the loop looks at pending again
-	// paid is when the writes so far are made up for, at one for each flush
-	// interval.
-	paid time.Time
+	wake     chan struct{} // capacity 1; makes the flush loop check pending again
+	// nextWriteTime is the theoretical time of the next write when writes are spaced
+	// one flush interval apart (GCRA). A write may be up to writeBurst-1 flush
+	// intervals ahead of it.
+	nextWriteTime time.Time
 }
 
 func newShard(p *Pages, number int) *shard {
 	return &shard{pages: p, number: number, wake: make(chan struct{}, 1)}
 }
 
-// add queues an op that a caller waits for. It returns false if too much waits.
+// add queues an op. It returns false if MaxPending ops are queued already.
 func (s *shard) add(o *op) bool {
 	if s.pages.pending.Value() >= int64(s.pages.opts.MaxPending) {
 		return false
@@ -38,8 +39,8 @@
 	return true
 }
 
-// record queues a completion or a release. Dropping one when too much waits is
-// safe: the key stays held, so that nothing runs a second time.
+// record queues a completion or a release. It drops the op if the queue is full.
+// That is safe: the key stays held, so that nothing runs a second time.
 func (s *shard) record(o *op) {
 	if !s.add(o) {
 		s.pages.opts.Logger.Log(event.ClaimDropped, "shard", s.number)
@@ -69,7 +70,7 @@
 	}
 }
 
-// flushLoop writes what is pending until there is nothing left.
+// flushLoop processes pending ops until there are none left or Pages stops.
 func (s *shard) flushLoop() {
 	for {
 		wait, more := s.nextFlush()
@@ -88,12 +89,13 @@
 	}
 }
 
-// writeBurst is how many writes of a shard may follow one another at once after
-// a pause. So a claim waits for company only where there is some.
+// writeBurst is the number of writes of a shard that may follow one another
+// immediately after an idle period. Thus claims are delayed for batching only
+// while the shard is busy.
 const writeBurst = 4
 
-// nextFlush returns how long to wait before the next write, and whether there
-// is one.
+// nextFlush returns how long to wait before the next write. more is false, and
+// the flush loop must end, if nothing is pending.
 func (s *shard) nextFlush() (wait time.Duration, more bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -111,14 +113,15 @@
 		}
 	}
 	ahead := (writeBurst - 1) * s.pages.opts.FlushInterval
-	if next := s.paid.Add(-ahead); due.Before(next) {
+	if next := s.nextWriteTime.Add(-ahead); due.Before(next) {
 		due = next
 	}
 	return due.Sub(now), true
 }
 
-// dropAbandoned removes claims that nobody waits for and that were in no write
-// of unknown outcome. s.mu is held.
+// dropAbandoned removes the pending ops whose callers no longer wait. Pending ops
+// have not been part of a write yet, so none of them is in doubt. The caller
+// holds s.mu.
 func (s *shard) dropAbandoned() {
 	kept := s.pending[:0]
 	for _, o := range s.pending {
@@ -132,8 +135,8 @@
 	s.pending = kept
 }
 
-// sleep waits; a wake-up ends it early if wakeable. It returns false, and the
-// loop must end, when Pages stops.
+// sleep waits for d. If wakeable is set, a signal on s.wake ends the wait early.
+// It returns false if Pages stops; then the flush loop must end.
 func (s *shard) sleep(d time.Duration, wakeable bool) bool {
 	timer := s.pages.opts.Clock.NewTimer(d)
 	defer timer.Stop()
@@ -153,8 +156,8 @@
 	return true
 }
 
-// nextBatch returns what is left of the last batch and the pending ops. It
-// leaves those that would make one write too large.
+// nextBatch returns the unfinished ops of the last batch followed by pending ops.
+// Pending ops beyond about WindowBytes are left for a later batch.
 func (s *shard) nextBatch(last []*op) []*op {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -173,8 +176,8 @@
 	return slices.Clone(s.batch)
 }
 
-// unwritten returns the completions and releases that the store does not have
-// yet.
+// unwritten returns the completions and releases that have not been confirmed by
+// the store.
 func (s *shard) unwritten() []*op {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -183,5 +186,6 @@
 	})
 }
 
-// entryOverhead is about the stored size of an entry without its result.
+// entryOverhead is the approximate stored size of an entry without its result, in
+// bytes.
 const entryOverhead = 160
--- a/internal/claim/ticket.go
+++ b/internal/claim/ticket.go
@@ -10,14 +10,16 @@
 	"time"
 )
 
-// ticketPrefix starts every ticket, and so every key that is minted under one.
+// ticketPrefix is the prefix of every ticket and thus of every key minted under
+// a ticket.
 const ticketPrefix = "lxt1."
 
-// maxTicket is the longest ticket that is parsed, in bytes.
+// maxTicket is the maximum length of a ticket, in bytes. Longer ones are not
+// parsed.
 const maxTicket = 512
 
-// ticket is what the text of a ticket holds. Its text is
-// lxt1.PAYLOAD.SIGNATURE, both base64url.
+// ticket is the payload of a ticket. The text form of a ticket is
+// lxt1.PAYLOAD.SIGNATURE, where both parts are base64url.
 type ticket struct {
 	Instance    string `json:"i"`
 	Incarnation uint64 `json:"c"`
@@ -41,8 +43,8 @@
 	return ticketPrefix + payload + "." + sign(secret, payload)
 }
 
-// parseTicket reads a ticket without checking its signature, which only its
-// home can.
+// parseTicket parses a ticket without verifying its signature. Only the issuing
+// instance has the secret to do that.
 func parseTicket(text string) (t ticket, payload, signature string, err error) {
 	rest, ok := strings.CutPrefix(text, ticketPrefix)
 	if !ok || len(text) > maxTicket {
@@ -65,10 +67,10 @@
 	return t, payload, signature, nil
 }
 
-// MintKey makes an idempotency key under a ticket out of a name that the
-// caller does not use twice. The key holds the ticket whole, so that the key
-// alone says which instance may run it: if the same key could be sent with two
-// tickets, two homes could each run it once.
+// MintKey builds an idempotency key from a ticket and a name that the caller
+// uses only once. The key contains the complete ticket, so that the key alone
+// determines which instance may run it. If the same key could be sent with two
+// tickets, both issuers could each run it once.
 func MintKey(ticket, name string) string { return ticket + "/" + name }
 
 // TicketOf returns the ticket that the key was minted under.
--- a/internal/claim/tickets.go
+++ b/internal/claim/tickets.go
@@ -32,21 +32,22 @@
 	metricTicketFull = metrics.Define("claim_ticket_full_total", "claims", "Claims under tickets that went to the platform's pages for want of room.")
 )
 
-// TicketOptions configures Tickets. Zero values take the defaults.
+// TicketOptions configures Tickets. Zero values select the defaults.
 type TicketOptions struct {
 	Self        string
-	Incarnation uint64 // of this process; never the same after a restart
+	Incarnation uint64 // identifies this run of the process; differs after every restart
 	Clock       clock.Clock
 	Secret      io.Reader // source of the signing secret, e.g. crypto/rand.Reader
 	Lifetime    time.Duration
-	MaxKeys     int // keys remembered; none is dropped before its ticket's expiry
-	MaxResult   int // bytes of output kept with a completed key
+	MaxKeys     int // limit on keys in memory; none is evicted before its ticket's expiry
+	MaxResult   int // limit on the retained output of a completed key, in bytes
 	Logger      *event.Logger
 	Metrics     *metrics.Registry
 }
 
-// Tickets lets this incarnation of the instance alone run the keys minted
-// under its tickets, and remembers them in memory. It needs no platform.
+// Tickets issues tickets and holds in memory the claims of keys minted under
+// them. Only the incarnation of the instance that issued a ticket may run the
+// keys minted under it, so the platform's store is not needed.
 type Tickets struct {
 	opts   TicketOptions
 	secret []byte
@@ -56,25 +57,27 @@
 }
 
 type ticketShard struct {
-	mu      sync.Mutex // guards the fields below
-	records map[keyID]*ticketRecord
-	byTime  expiryHeap
-	// overflowUntil is the latest expiry of a key that went to the pages for
-	// want of room. Until then, a key that is not in memory may be there.
+	mu       sync.Mutex // guards the fields below
+	records  map[keyID]*ticketRecord
+	byExpiry expiryHeap
+	// overflowUntil is the latest expiry of a key that was claimed in the
+	// platform's store because memory was full. Until then, a key that is not in
+	// memory may be recorded in the store.
 	overflowUntil time.Time
 }
 
 type ticketRecord struct {
-	id      keyID
-	body    string
-	expires time.Time
-	state   State
-	result  json.RawMessage
-	has     bool
+	id        keyID
+	body      string
+	expires   time.Time
+	state     State
+	result    json.RawMessage
+	hasResult bool
 }
 
-// NewTickets reads the secret. It panics if the source fails, since a ticket
-// signed with a known secret could be forged.
+// NewTickets returns Tickets with a secret read from opts.Secret. It panics if
+// the read fails, since tickets signed with a predictable secret could be
+// forged.
 func NewTickets(opts TicketOptions) *Tickets {
 	if opts.Clock == nil {
 		opts.Clock = quartz.NewReal()
@@ -98,7 +101,7 @@
 	return t
 }
 
-// Issue returns a ticket for an address answer.
+// Issue returns a new ticket and its expiry.
 func (t *Tickets) Issue() (text string, expires time.Time) {
 	now := t.opts.Clock.Now()
 	expires = now.Add(t.opts.Lifetime)
@@ -106,14 +109,15 @@
 	return issued.text(t.secret), expires
 }
 
-// Home returns the instance that issued the ticket. The signature is not
-// checked: only the home can, and does when the request gets there.
+// Home returns the instance that issued the ticket. It does not verify the
+// signature: only the issuer can, and it does so when it receives the request.
 func (t *Tickets) Home(text string) (instance string, ok bool) {
 	parsed, _, _, err := parseTicket(text)
 	return parsed.Instance, err == nil
 }
 
-// check returns the ticket that the key was minted under if it is ours.
+// check returns the ticket that the key was minted under. It returns an error
+// unless this incarnation issued the ticket and the ticket has not expired.
 func (t *Tickets) check(key string) (ticket, error) {
 	text, ok := TicketOf(key)
 	if !ok {
@@ -135,9 +139,9 @@
 	return parsed, nil
 }
 
-// Claim implements Claimer for keys minted under this incarnation's tickets.
-// When there is no room it returns StoreUnavailable; a Router takes the claim
-// to the pages instead.
+// Claim implements Claimer for keys minted under tickets of this incarnation. If
+// memory is full, it returns StoreUnavailable; the Claimer that NewRouter returns
+// claims the key in the platform's store instead.
 func (t *Tickets) Claim(_ context.Context, req Request) (Answer, error) {
 	answer, room, err := t.claim(req)
 	if err == nil && !room {
@@ -146,9 +150,10 @@
 	return answer, err
 }
 
-// claim returns room false if the key must be claimed in the pages.
+// claim claims the key in memory. room is false if the key must be claimed in
+// the platform's store.
 func (t *Tickets) claim(req Request) (answer Answer, room bool, err error) {
-	home, err := t.check(req.Key.Key)
+	issued, err := t.check(req.Key.Key)
 	if err != nil {
 		return Answer{}, true, err
 	}
@@ -162,20 +167,21 @@
 		answer, err := t.answerOf(rec, shortHash(req.BodyHash))
 		return answer, true, err
 	}
-	// A key that went to the pages while there was no room is looked for there
-	// also when there is room again: granted here, it would run twice.
+	// A key that was claimed in the store while memory was full must be looked
+	// up there even if memory has room again: granted here, it would run twice.
 	if now.Before(s.overflowUntil) || len(s.records) >= t.opts.MaxKeys/ticketShards {
-		t.overflow(s, home.expiresAt())
+		t.overflow(s, issued.expiresAt())
 		return Answer{}, false, nil
 	}
-	rec := &ticketRecord{id: id, body: shortHash(req.BodyHash), expires: home.expiresAt(), state: Held}
+	rec := &ticketRecord{id: id, body: shortHash(req.BodyHash), expires: issued.expiresAt(), state: Held}
 	s.records[id] = rec
-	heap.Push(&s.byTime, rec)
+	heap.Push(&s.byExpiry, rec)
 	t.keys.Add(1)
 	return Answer{State: Granted, Holder: t.opts.Self, Claim: &ticketClaim{tickets: t, shard: s, record: rec}}, true, nil
 }
 
-// overflow notes that a key with the expiry goes to the pages. s.mu is held.
+// overflow records that a key with the given expiry is claimed in the platform's
+// store. The caller holds s.mu.
 func (t *Tickets) overflow(s *ticketShard, expires time.Time) {
 	if s.overflowUntil.IsZero() {
 		t.opts.Logger.Log(event.ClaimTicketsFull)
@@ -190,7 +196,7 @@
 	if rec.body != body {
 		return Answer{}, errkind.New(errkind.KeyReused, "the idempotency key was used with another body")
 	}
-	return Answer{State: rec.state, Holder: t.opts.Self, Result: rec.result, HasResult: rec.has}, nil
+	return Answer{State: rec.state, Holder: t.opts.Self, Result: rec.result, HasResult: rec.hasResult}, nil
 }
 
 // Lookup implements Claimer.
@@ -219,11 +225,11 @@
 
 func (t *Tickets) shardOf(id keyID) *ticketShard { return &t.shards[id.shard(ticketShards)] }
 
-// expire drops records past their ticket's expiry; their keys are refused
-// before they are looked up. s.mu is held.
+// expire removes records past their ticket's expiry. Requests with such keys are
+// refused before the lookup. The caller holds s.mu.
 func (t *Tickets) expire(s *ticketShard, now time.Time) {
-	for len(s.byTime) > 0 && !now.Before(s.byTime[0].expires) {
-		rec := heap.Pop(&s.byTime).(*ticketRecord)
+	for len(s.byExpiry) > 0 && !now.Before(s.byExpiry[0].expires) {
+		rec := heap.Pop(&s.byExpiry).(*ticketRecord)
 		if s.records[rec.id] == rec {
 			delete(s.records, rec.id)
 			t.keys.Add(-1)
@@ -231,7 +237,7 @@
 	}
 }
 
-// ticketClaim is a claim held in memory.
+// ticketClaim is a claim recorded in memory.
 type ticketClaim struct {
 	tickets *Tickets
 	shard   *ticketShard
@@ -249,7 +255,7 @@
 	c.ended = true
 	c.record.state = Completed
 	if len(output) <= c.tickets.opts.MaxResult {
-		c.record.result, c.record.has = output, true
+		c.record.result, c.record.hasResult = output, true
 	}
 }
 
@@ -267,7 +273,7 @@
 	}
 }
 
-// expiryHeap orders records by expiry.
+// expiryHeap is a min-heap of records by expiry.
 type expiryHeap []*ticketRecord
 
 func (h expiryHeap) Len() int           { return len(h) }
--- a/internal/claim/tickets_test.go
+++ b/internal/claim/tickets_test.go
@@ -64,7 +64,7 @@
 	}
 }
 
-// claimAll claims a thousand keys under the ticket at the same time.
+// claimAll concurrently claims a thousand keys minted under the ticket.
 func claimAll(t *testing.T, c Claimer, ticket string, want State) {
 	t.Helper()
 	var wg sync.WaitGroup
@@ -79,9 +79,9 @@
 	wg.Wait()
 }
 
-// Symptom: a booking is made twice under one key. Events: memory for tickets
-// is full and a key is claimed in the pages; there is room again when the key
-// comes a second time. Cause: the key is looked for in memory only.
+// Guards against a key that runs twice because it is looked up in memory only. The
+// key was claimed in the store while memory was full, and memory has room again
+// when the key is sent a second time.
 func TestOverflowedKeyStaysInPages(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		st := memstore.New(memstore.Options{})
@@ -95,21 +95,21 @@
 		time.Sleep(30 * time.Second)
 		late, _ := tickets.Issue()
 		claimAll(t, r, late, Granted)
-		time.Sleep(31 * time.Second) // the early ones expire and leave room
+		time.Sleep(31 * time.Second) // the early keys expire and free memory
 		claimAll(t, r, late, Held)
 		time.Sleep(time.Minute)
 		before := st.Counts().Writes
 		fresh, _ := tickets.Issue()
 		mustState(t, r, testRequest(MintKey(fresh, "k"), "x", time.Second), Granted)
 		if st.Counts().Writes != before {
-			t.Error("still in the pages after every overflowed key has expired")
+			t.Error("claimed in the store although every overflowed key has expired")
 		}
 	})
 }
 
-// Symptom: a booking is made twice. Events: a caller sends a plain key with
-// the ticket of one instance, and again with the ticket of another.
-// Cause: the ticket beside the key decides where the claim is held.
+// Guards against a plain key that runs twice because the ticket sent with it
+// determines where it is claimed. The caller sends the key with the ticket of one
+// instance, and then again with the ticket of another.
 func TestPlainKeyWithTicketGoesToPages(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		st := memstore.New(memstore.Options{})
@@ -173,7 +173,7 @@
 		}
 		again, err := windowOf(1, 2, encode(w.page))
 		if err != nil || len(again.page.Entries) != len(w.page.Entries) || again.page.Sealed != w.page.Sealed {
-			t.Errorf("a page changed when it was written again: %v", err)
+			t.Errorf("page changed in an encode and decode round trip: %v", err)
 		}
 	})
 }
--- a/internal/claim/view.go
+++ b/internal/claim/view.go
@@ -9,25 +9,25 @@
 	"lynxhill.example/lynxhill/internal/store"
 )
 
-// listAbove is the number of windows from which on one List call is used in
-// place of a Get for each.
+// listAbove is the number of windows above which they are read with a single List
+// call instead of one Get call each.
 const listAbove = 4
 
-// view is what the flush loop knows of its shard in the store. It may be out
-// of date at any time: then the next conditional write fails.
+// view is the flush loop's copy of its shard's state in the store. It may be stale
+// at any time; in that case the next conditional write fails.
 type view struct {
 	loaded       bool
-	confirmed    int64 // ms since the epoch: the view was up to date then
+	confirmed    int64 // ms since the epoch when the view was last known to be up to date
 	index        index
 	indexVersion uint64
-	indexed      uint64 // first window that the stored index does not list
+	indexed      uint64 // number of the first window after those that the stored index lists
 	current      *window
-	// doubt holds the ops in writes on top of current.version whose outcome is
-	// not known. They are settled as soon as the window has a later version.
-	doubt []*op
+	// inDoubt holds the ops in writes conditional on current.version whose
+	// outcome is unknown. They are resolved once the window has a later version.
+	inDoubt []*op
 }
 
-// get reads an object; found is false if it does not exist.
+// get reads an object. found is false if it does not exist.
 func (s *shard) get(ctx context.Context, key string) (obj store.Object, found bool, err error) {
 	s.pages.reads.Add(1)
 	obj, err = s.pages.opts.Store.Get(ctx, key)
@@ -41,10 +41,10 @@
 	return obj, true, nil
 }
 
-// load reads the index and the current window unless they are known and were
-// confirmed lately. With a write in doubt, the view stays with its window.
+// load reads the index and the current window unless the view is loaded and not
+// stale. While a write is in doubt, the view stays at its current window.
 func (s *shard) load(ctx context.Context) error {
-	if s.view.loaded && (len(s.view.doubt) > 0 || !s.outdated()) {
+	if s.view.loaded && (len(s.view.inDoubt) > 0 || !s.viewStale()) {
 		return nil
 	}
 	if err := s.pages.checkFormat(ctx); err != nil {
@@ -81,9 +81,9 @@
 	return err
 }
 
-// advance makes the first window from number on that is not sealed the
-// current one. Window n+1 exists only if n is sealed, so that the chain can be
-// followed without the index, which may lag.
+// advance makes the first unsealed window from number on the current one. Window
+// n+1 exists only if window n is sealed, so the sequence can be followed beyond
+// the end of the index, which may lag behind.
 func (s *shard) advance(ctx context.Context, number uint64) error {
 	for {
 		obj, found, err := s.get(ctx, windowKey(s.number, number))
@@ -102,35 +102,34 @@
 		if !w.page.Sealed {
 			return nil
 		}
-		s.noteSealed(w)
+		s.addSealed(w)
 		number++
 	}
 }
 
-// noteSealed keeps a sealed window and adds it to our copy of the index.
-func (s *shard) noteSealed(w *window) {
+// addSealed adds a sealed window to the cache and to the view's copy of the index.
+func (s *shard) addSealed(w *window) {
 	s.pages.cache.add(s.number, w)
 	if w.number == s.view.index.next() {
 		s.view.index.Windows = append(s.view.index.Windows, w.indexEntry())
 	}
 }
 
-// outdated reports whether the view was confirmed too long ago. A window that
-// had not been created then may have been filled, sealed and removed since;
-// creating it again would grant claims that nobody else looks for. The time is
-// taken from the wall clock, since the monotonic one stops while a machine is
-// suspended.
-func (s *shard) outdated() bool {
-	return millis(s.pages.opts.Clock.Now())-s.view.confirmed > viewLife.Milliseconds()
+// viewStale reports whether the view was confirmed more than viewTTL ago. A window
+// that did not exist at that time may have been filled, sealed and removed since.
+// Creating it again would grant claims that no other instance looks up. The wall
+// clock is used because the monotonic clock stops while the host is suspended.
+func (s *shard) viewStale() bool {
+	return millis(s.pages.opts.Clock.Now())-s.view.confirmed > viewTTL.Milliseconds()
 }
 
 func (s *shard) confirm() { s.view.confirmed = millis(s.pages.opts.Clock.Now()) }
 
-// viewLife must be shorter than the time for which a window outlasts its
-// retention, by more than the clocks of instances differ.
-const viewLife = removalMargin / 2
+// viewTTL is how long a view may be used without confirmation. It must be shorter
+// than removalMargin by more than the clock skew between instances.
+const viewTTL = removalMargin / 2
 
-// refresh reads the current window again.
+// refresh reads the current window again and updates the view.
 func (s *shard) refresh(ctx context.Context) error {
 	current := s.view.current
 	asked := millis(s.pages.opts.Clock.Now())
@@ -139,26 +138,28 @@
 		return err
 	}
 	if !found {
-		return s.vanished(ctx)
+		return s.handleMissingCurrent(ctx)
 	}
 	s.view.confirmed = asked
-	return s.adopt(ctx, obj)
+	return s.replaceCurrent(ctx, obj)
 }
 
-// vanished handles a current window that is not in the store: it was never
-// created, or it was removed after its retention while this instance slept.
-func (s *shard) vanished(ctx context.Context) error {
+// handleMissingCurrent handles a current window that is not in the store. Either it
+// has not been created yet, or it was removed after its retention while this
+// instance was suspended.
+func (s *shard) handleMissingCurrent(ctx context.Context) error {
 	if s.view.current.version == 0 {
-		return nil // not created yet; a lost write may still be on its way
+		return nil // not created yet; a write whose reply was lost may still take effect
 	}
-	s.giveUpDoubt()
+	s.failInDoubt()
 	s.view.loaded = false
 	return s.load(ctx)
 }
 
-// adopt takes obj as the content of the current window, settles lost writes by
-// it, and goes on to the next window if it is sealed.
-func (s *shard) adopt(ctx context.Context, obj store.Object) error {
+// replaceCurrent sets the content of the current window to obj and resolves the
+// writes in doubt against it. If the window is sealed, the view moves on to the
+// shard's current window.
+func (s *shard) replaceCurrent(ctx context.Context, obj store.Object) error {
 	current := s.view.current
 	if obj.Version == current.version {
 		return nil
@@ -168,25 +169,25 @@
 		return s.invalid(err)
 	}
 	s.view.current = w
-	s.settle(w)
+	s.resolveInDoubt(w)
 	if !w.page.Sealed {
 		return nil
 	}
-	// Another instance sealed it, maybe long ago: the index says how far on
-	// the shard is. Until that is read, the view is not to be used.
+	// Another instance sealed the window, possibly long ago. The view must not be
+	// used until the index has been read, which gives the shard's current window.
 	s.view.loaded = false
 	s.pages.cache.add(s.number, w)
 	return s.load(ctx)
 }
 
-// sealedFor returns the sealed windows in which the keys of the ops may be.
+// sealedFor returns the sealed windows that may contain the keys of the ops.
 func (s *shard) sealedFor(ctx context.Context, ops []*op) (map[uint64]*window, error) {
 	windows := make(map[uint64]*window)
 	var missing []uint64
 	now := millis(s.pages.opts.Clock.Now())
 	for i, x := range s.view.index.Windows {
 		number := s.view.index.First + uint64(i)
-		if number >= s.view.current.number || x.Keep < now || !mayHold(x, ops) {
+		if number >= s.view.current.number || x.Keep < now || !mayContain(x, ops) {
 			continue
 		}
 		if w, ok := s.pages.cache.get(cacheKey{s.number, number}); ok {
@@ -201,11 +202,11 @@
 	return windows, s.readSealed(ctx, missing, windows)
 }
 
-// mayHold reports whether the window can hold a claim of one of the keys: a
-// key that carries its time was not claimed before that time.
-func mayHold(x indexEntry, ops []*op) bool {
+// mayContain reports whether the window can contain a claim of one of the ops'
+// keys. A key with a timestamp cannot have been claimed before its notBefore time.
+func mayContain(x indexEntry, ops []*op) bool {
 	for _, o := range ops {
-		if o.life.notBefore.IsZero() || x.Last >= millis(o.life.notBefore) {
+		if o.lifetime.notBefore.IsZero() || x.Last >= millis(o.lifetime.notBefore) {
 			return true
 		}
 	}
@@ -220,7 +221,7 @@
 	for _, number := range missing {
 		obj, found := objects[windowKey(s.number, number)]
 		if !found {
-			s.view.loaded = len(s.view.doubt) > 0
+			s.view.loaded = len(s.view.inDoubt) > 0
 			s.pages.opts.Logger.Log(event.ClaimWindowMissing, "shard", s.number, "window", number)
 			return fmt.Errorf("claim: window %d of shard %d is missing: %w", number, s.number, store.ErrUnavailable)
 		}
