--- a/internal/outcome/do.go
+++ b/internal/outcome/do.go
@@ -6,20 +6,22 @@
 	"lynxhill.example/lynxhill/internal/errkind"
 )
 
-// flight is a request that is running. record is written before done closes.
-type flight struct {
+// inFlightRequest is a request that is running. record is set before done is
+// closed.
+type inFlightRequest struct {
 	bodyHash string
 	done     chan struct{}
 	record   Record
 }
 
-// Do runs the request unless one with the same key and body is running or has
-// finished, in which case it returns that one's record with shared set. It
-// returns an error of kind KeyReused for another body, and Cancelled when ctx
-// ends before the record is there.
+// Do runs the request unless one with the same key and body is in flight or has
+// finished; in that case it returns the record of that request with shared set.
+// It returns an error of kind KeyReused if the key was used with another body,
+// and Cancelled if ctx ends before the record is available.
 //
-// run gets a context that does not end with the caller's, since others may
-// wait for the run or ask for its outcome later; run sets its own deadline.
+// The context passed to run is not cancelled with the caller's ctx, since other
+// callers may be waiting for the result or look it up later. run sets its own
+// deadline.
 func (r *Registry) Do(ctx context.Context, key Key, bodyHash, requestID string, run func(ctx context.Context) Record) (rec Record, shared bool, err error) {
 	s := r.shardOf(key)
 	s.mu.Lock()
@@ -27,12 +29,12 @@
 		s.mu.Unlock()
 		return r.share(rec, bodyHash)
 	}
-	if f, ok := s.flights[key]; ok {
+	if f, ok := s.inFlight[key]; ok {
 		s.mu.Unlock()
 		return r.join(ctx, f, bodyHash)
 	}
-	f := &flight{bodyHash: bodyHash, done: make(chan struct{})}
-	s.flights[key] = f
+	f := &inFlightRequest{bodyHash: bodyHash, done: make(chan struct{})}
+	s.inFlight[key] = f
 	s.mu.Unlock()
 	r.running.Add(1)
 	go r.run(context.WithoutCancel(ctx), s, key, f, requestID, run)
@@ -48,7 +50,7 @@
 	return rec, true, nil
 }
 
-func (r *Registry) join(ctx context.Context, f *flight, bodyHash string) (Record, bool, error) {
+func (r *Registry) join(ctx context.Context, f *inFlightRequest, bodyHash string) (Record, bool, error) {
 	if f.bodyHash != bodyHash {
 		return Record{}, false, errKeyReused()
 	}
@@ -60,7 +62,7 @@
 	return rec, true, nil
 }
 
-func (f *flight) wait(ctx context.Context) (Record, error) {
+func (f *inFlightRequest) wait(ctx context.Context) (Record, error) {
 	select {
 	case <-f.done:
 		return f.record, nil
@@ -74,10 +76,10 @@
 	}
 }
 
-// run runs the request and publishes its record. A panic in run becomes an
-// internal error: without that, the flight would never end, and everybody who
-// waits for it would hang until their deadline.
-func (r *Registry) run(ctx context.Context, s *shard, key Key, f *flight, requestID string, run func(ctx context.Context) Record) {
+// run executes the request and publishes its record. A panic in the run
+// callback is recorded as an internal error; otherwise the request would stay
+// in flight for ever and every waiting caller would block until its deadline.
+func (r *Registry) run(ctx context.Context, s *shard, key Key, f *inFlightRequest, requestID string, run func(ctx context.Context) Record) {
 	rec := Record{}
 	defer func() {
 		if p := recover(); p != nil {
@@ -93,11 +95,11 @@
 	rec = run(ctx)
 }
 
-func (r *Registry) finish(s *shard, key Key, f *flight, rec Record) {
+func (r *Registry) finish(s *shard, key Key, f *inFlightRequest, rec Record) {
 	s.mu.Lock()
-	delete(s.flights, key)
-	if retained(rec) {
-		r.keep(s, key, rec, r.opts.Clock.Now().Add(r.opts.Keep))
+	delete(s.inFlight, key)
+	if shouldRetain(rec) {
+		r.retain(s, key, rec, r.opts.Clock.Now().Add(r.opts.Keep))
 	}
 	s.mu.Unlock()
 	r.running.Add(-1)
--- a/internal/outcome/export.go
+++ b/internal/outcome/export.go
@@ -2,15 +2,17 @@
 
 import "time"
 
-// Exported is a finished record on its way to another instance.
+// Exported is a finished record in the form in which it is transferred to
+// another instance.
 type Exported struct {
-	Key    Key           `json:"key"`
-	Record Record        `json:"record"`
-	Left   time.Duration `json:"left_ns"` // time it is still to be kept
+	Key       Key           `json:"key"`
+	Record    Record        `json:"record"`
+	Remaining time.Duration `json:"left_ns"` // remaining retention
 }
 
-// Export returns up to maxRecords finished records, the most recently used of each
-// shard first, for a peer to Import when this instance stops.
+// Export returns up to maxRecords finished records, the most recently used of
+// each shard first. An instance that is stopping sends them to a peer, which
+// passes them to Import.
 func (r *Registry) Export(maxRecords int) []Exported {
 	var out []Exported
 	now := r.opts.Clock.Now()
@@ -26,29 +28,29 @@
 	defer s.mu.Unlock()
 	var out []Exported
 	for e := s.order.Front(); e != nil && len(out) < maxRecords; e = e.Next() {
-		k := e.Value.(*kept)
+		k := e.Value.(*finishedRecord)
 		if left := k.expires.Sub(now); left > 0 {
-			out = append(out, Exported{Key: k.key, Record: k.record, Left: left})
+			out = append(out, Exported{Key: k.key, Record: k.record, Remaining: left})
 		}
 	}
 	return out
 }
 
-// Import adds records of an instance that stops. A record or a request in
-// flight of our own is kept in preference.
+// Import adds the records of an instance that is stopping. Keys that already
+// have a record or a request in flight here are skipped.
 func (r *Registry) Import(records []Exported) {
 	now := r.opts.Clock.Now()
 	for _, e := range records {
-		if e.Left <= 0 || !retained(e.Record) {
+		if e.Remaining <= 0 || !shouldRetain(e.Record) {
 			continue
 		}
-		left := min(e.Left, r.opts.Keep)
+		left := min(e.Remaining, r.opts.Keep)
 		s := r.shardOf(e.Key)
 		s.mu.Lock()
-		_, running := s.flights[e.Key]
+		_, running := s.inFlight[e.Key]
 		_, known := s.finished[e.Key]
 		if !running && !known {
-			r.keep(s, e.Key, e.Record, now.Add(left))
+			r.retain(s, e.Key, e.Record, now.Add(left))
 		}
 		s.mu.Unlock()
 	}
--- a/internal/outcome/outcome.go
+++ b/internal/outcome/outcome.go
@@ -1,6 +1,7 @@
-// Package outcome keeps, in bounded memory, the requests in flight at this
-// instance and the recent outcomes by idempotency key, so that requests with
-// the same key share one run and get the same answer.
+// Package outcome deduplicates the requests of one instance by idempotency key.
+// It holds, in bounded memory, the requests in flight and the outcomes of
+// recently finished ones, so that requests with the same key share one
+// execution and get the same response.
 package outcome
 
 import (
@@ -10,13 +11,13 @@
 	"lynxhill.example/lynxhill/internal/errkind"
 )
 
-// Key identifies a request of a caller.
+// Key identifies a request by its organisation and idempotency key.
 type Key struct {
 	Organisation string
 	Key          string
 }
 
-// Record is a finished request.
+// Record is the outcome of a finished request.
 type Record struct {
 	RequestID string          `json:"request_id"`
 	BodyHash  string          `json:"body_hash"`
@@ -24,9 +25,10 @@
 	Err       *errkind.Body   `json:"error,omitempty"`
 }
 
-// Remote asks other instances; internal/peer implements it.
+// Remote queries other instances; internal/peer implements it.
 type Remote interface {
-	// Outcome asks an instance for the outcome of a key and waits for one in
-	// flight until ctx ends. found is false if it has no record.
+	// Outcome queries an instance for the outcome of a key. If the request is
+	// in flight there, it waits for the request until ctx ends. found is false
+	// if the instance has no record of the key.
 	Outcome(ctx context.Context, instance string, key Key) (record Record, found bool, err error)
 }
--- a/internal/outcome/property_test.go
+++ b/internal/outcome/property_test.go
@@ -18,31 +18,33 @@
 	"lynxhill.example/lynxhill/internal/errkind"
 )
 
-// runs is what the callers of a registry did and were told.
-type runs struct {
+// workload runs concurrent callers against a registry and records what they
+// observe.
+type workload struct {
 	r *Registry
 
-	mu     sync.Mutex // guards the fields below
-	active map[Key]int
-	made   map[string]bool // records that a run returned
-	ops    []porcupine.Operation
-	broken []string
+	mu         sync.Mutex // guards the fields below
+	active     map[Key]int
+	outputs    map[string]bool // "key=output" of each completed run
+	ops        []porcupine.Operation
+	violations []string
 }
 
-func (x *runs) fail(format string, args ...any) {
+func (x *workload) fail(format string, args ...any) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.broken = append(x.broken, fmt.Sprintf(format, args...))
+	x.violations = append(x.violations, fmt.Sprintf(format, args...))
 }
 
-// run takes a while and returns an answer of its own, or that nothing was run.
-func (x *runs) run(key Key, id int, took time.Duration, refuse bool) Record {
+// run sleeps for the given time and returns a record with a unique output, or,
+// if refuse is set, a record that says that the request did not run.
+func (x *workload) run(key Key, id int, took time.Duration, refuse bool) Record {
 	x.mu.Lock()
 	x.active[key]++
 	together := x.active[key]
 	x.mu.Unlock()
 	if together > 1 {
-		x.fail("two runs of %v at once", key)
+		x.fail("two concurrent runs of %v", key)
 	}
 	time.Sleep(took)
 	x.mu.Lock()
@@ -53,11 +55,11 @@
 		return Record{Err: &body}
 	}
 	output := fmt.Sprint(id)
-	x.made[key.Key+"="+output] = true
+	x.outputs[key.Key+"="+output] = true
 	return Record{Output: json.RawMessage(output)}
 }
 
-func (x *runs) caller(rng *rand.Rand, first, requests, keys int) {
+func (x *workload) caller(rng *rand.Rand, first, requests, keys int) {
 	for id := first; id < first+requests; id++ {
 		key := Key{Organisation: "o", Key: fmt.Sprint(rng.IntN(keys))}
 		took, refuse := time.Duration(rng.IntN(500))*time.Millisecond, rng.IntN(4) == 0
@@ -66,28 +68,28 @@
 		rec, shared, err := x.r.Do(ctx, key, "b", fmt.Sprint(id), func(context.Context) Record { return x.run(key, id, took, refuse) })
 		cancel()
 		if err == nil {
-			x.told(key, id, rec, shared, call)
+			x.checkAnswer(key, id, rec, shared, call)
 		}
 		time.Sleep(time.Duration(rng.IntN(300)) * time.Millisecond)
 	}
 }
 
-func (x *runs) told(key Key, id int, rec Record, shared bool, call time.Time) {
+func (x *workload) checkAnswer(key Key, id int, rec Record, shared bool, call time.Time) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if rec.Err == nil && !x.made[key.Key+"="+string(rec.Output)] {
-		x.broken = append(x.broken, fmt.Sprintf("key %s was answered with %s of another key", key.Key, rec.Output))
+	if rec.Err == nil && !x.outputs[key.Key+"="+string(rec.Output)] {
+		x.violations = append(x.violations, fmt.Sprintf("key %s was answered with %s of another key", key.Key, rec.Output))
 	}
 	if !shared && rec.RequestID != fmt.Sprint(id) {
-		x.broken = append(x.broken, fmt.Sprintf("request %d got the record of %s as its own", id, rec.RequestID))
+		x.violations = append(x.violations, fmt.Sprintf("request %d got the record of %s as its own", id, rec.RequestID))
 	}
 	x.ops = append(x.ops, porcupine.Operation{
 		ClientId: len(x.ops), Input: key.Key, Output: string(rec.Output), Call: call.UnixNano(), Return: time.Now().UnixNano(),
 	})
 }
 
-func runCallers(t *testing.T, seed uint64, callers, keys, maxRecords int) *runs {
-	x := &runs{active: make(map[Key]int), made: make(map[string]bool)}
+func runCallers(t *testing.T, seed uint64, callers, keys, maxRecords int) *workload {
+	x := &workload{active: make(map[Key]int), outputs: make(map[string]bool)}
 	synctest.Test(t, func(t *testing.T) {
 		x.r = NewRegistry(Options{Keep: time.Hour, MaxRecords: maxRecords})
 		var wg sync.WaitGroup
@@ -101,9 +103,10 @@
 	return x
 }
 
-// answerModel is a key as its callers see it: unanswered until the first
-// answer, and that answer from then on. A request that was not run (no output)
-// changes nothing, and is told only while there is no answer.
+// answerModel is the sequential specification of one key: it has no answer
+// until the first run completes, and that answer from then on. A request that
+// did not run (empty output) leaves the state unchanged and may be reported only
+// while there is no answer.
 func answerModel() porcupine.Model {
 	return porcupine.Model{
 		Partition: func(ops []porcupine.Operation) [][]porcupine.Operation {
@@ -128,13 +131,13 @@
 	}
 }
 
-// Symptom: two callers with one key get different answers, or one is told
-// "not run" after another got its answer. Cause: a record that is replaced.
+// Guards against a record that is replaced: callers with the same key would get
+// different answers, or "not run" after another caller got an answer.
 func TestAnswersAreLinearizable(t *testing.T) {
 	for seed := range uint64(10) {
 		x := runCallers(t, seed, 8, 12, 100_000)
-		if len(x.broken) > 0 {
-			t.Errorf("seed %d: %v", seed, x.broken)
+		if len(x.violations) > 0 {
+			t.Errorf("seed %d: %v", seed, x.violations)
 		}
 		if !porcupine.CheckOperations(answerModel(), x.ops) {
 			t.Errorf("seed %d: history of %d answers is not linearizable", seed, len(x.ops))
@@ -142,8 +145,8 @@
 	}
 }
 
-// With little room, records are dropped; still no key has two runs at once and
-// nobody gets the answer of another key.
+// With a small record limit, records are evicted. Even then no key may have two
+// concurrent runs and no caller may get the answer of another key.
 func TestOneRunAtATime(t *testing.T) {
 	params := gopter.DefaultTestParametersWithSeed(21)
 	params.MinSuccessfulTests = 30
@@ -153,7 +156,7 @@
 		func(seed uint64, callers, keys, maxRecords int) bool {
 			x := runCallers(t, seed, callers, keys, maxRecords)
 			total += len(x.ops)
-			return len(x.broken) == 0
+			return len(x.violations) == 0
 		},
 		gen.UInt64(), gen.IntRange(1, 16), gen.IntRange(1, 40), gen.IntRange(1, 64),
 	))
--- a/internal/outcome/registry.go
+++ b/internal/outcome/registry.go
@@ -23,10 +23,11 @@
 	DefaultKeep             = 10 * time.Minute
 )
 
-// shardCount is a power of two, so that a shard is picked by a mask.
+// shardCount is a power of two, so that a shard is selected with a bit mask.
 const shardCount = 16
 
-// recordOverhead is the memory in bytes that a record takes beside its output.
+// recordOverhead is the estimated memory in bytes of a record without its key
+// and output.
 const recordOverhead = 512
 
 var (
@@ -36,17 +37,18 @@
 	metricRunning = metrics.Define("outcome_running", "requests", "Requests that are running.")
 )
 
-// Options configures a Registry. Zero values take the defaults.
+// Options configures a Registry. Zero values select the defaults.
 type Options struct {
 	Clock      clock.Clock
-	MaxRecords int           // finished records kept
-	MaxBytes   int64         // memory of finished records
-	Keep       time.Duration // how long a finished record is kept
+	MaxRecords int           // limit on retained finished records
+	MaxBytes   int64         // limit on the memory of finished records, in bytes
+	Keep       time.Duration // retention of a finished record
 	Logger     *event.Logger
 	Metrics    *metrics.Registry
 }
 
-// Registry holds the requests in flight and the recent outcomes.
+// Registry holds the requests in flight and the outcomes of recently finished
+// requests.
 type Registry struct {
 	opts    Options
 	shards  [shardCount]shard
@@ -58,20 +60,20 @@
 
 type shard struct {
 	mu       sync.Mutex // guards the fields below
-	flights  map[Key]*flight
-	finished map[Key]*list.Element // of *kept
+	inFlight map[Key]*inFlightRequest
+	finished map[Key]*list.Element // of *finishedRecord
 	order    *list.List            // most recently used first
 	bytes    int64
 }
 
-// kept is a finished record.
-type kept struct {
+// finishedRecord is a retained record with its expiry.
+type finishedRecord struct {
 	key     Key
 	record  Record
 	expires time.Time
 }
 
-func (k *kept) size() int64 { return recordSize(k.key, k.record) }
+func (k *finishedRecord) size() int64 { return recordSize(k.key, k.record) }
 
 func recordSize(key Key, rec Record) int64 {
 	return int64(recordOverhead + len(key.Organisation) + len(key.Key) + len(rec.Output))
@@ -99,7 +101,7 @@
 		running: opts.Metrics.Counter(metricRunning),
 	}
 	for i := range r.shards {
-		r.shards[i].flights = make(map[Key]*flight)
+		r.shards[i].inFlight = make(map[Key]*inFlightRequest)
 		r.shards[i].finished = make(map[Key]*list.Element)
 		r.shards[i].order = list.New()
 	}
@@ -115,7 +117,8 @@
 	return &r.shards[d.Sum64()&(shardCount-1)]
 }
 
-// Lookup returns the finished record of the key.
+// Lookup returns the record of a finished request. It does not wait for a
+// request in flight.
 func (r *Registry) Lookup(key Key) (Record, bool) {
 	s := r.shardOf(key)
 	s.mu.Lock()
@@ -123,13 +126,14 @@
 	return r.lookup(s, key)
 }
 
-// lookup returns the record unless it is past its time. s.mu is held.
+// lookup returns the record of the key, or removes it if it has expired. The
+// caller holds s.mu.
 func (r *Registry) lookup(s *shard, key Key) (Record, bool) {
 	element, ok := s.finished[key]
 	if !ok {
 		return Record{}, false
 	}
-	k := element.Value.(*kept)
+	k := element.Value.(*finishedRecord)
 	if !r.opts.Clock.Now().Before(k.expires) {
 		r.remove(s, element)
 		return Record{}, false
@@ -138,8 +142,9 @@
 	return k.record, true
 }
 
-// Wait returns the record of the key, waiting for a request in flight until
-// ctx ends. found is false if there is neither, or ctx ended first.
+// Wait returns the record of the key. If the request is in flight, it waits
+// until the request finishes or ctx ends. found is false if the key is unknown
+// or ctx ended first.
 func (r *Registry) Wait(ctx context.Context, key Key) (rec Record, found bool) {
 	s := r.shardOf(key)
 	s.mu.Lock()
@@ -147,7 +152,7 @@
 		s.mu.Unlock()
 		return rec, true
 	}
-	f, ok := s.flights[key]
+	f, ok := s.inFlight[key]
 	s.mu.Unlock()
 	if !ok {
 		return Record{}, false
@@ -165,17 +170,18 @@
 	s := r.shardOf(key)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	_, ok := s.flights[key]
+	_, ok := s.inFlight[key]
 	return ok
 }
 
-// keep stores a finished record and drops the least recently used ones for
-// room. s.mu is held.
-func (r *Registry) keep(s *shard, key Key, rec Record, expires time.Time) {
+// retain stores a finished record and evicts the least recently used ones if
+// the shard exceeds its limits. A record larger than the shard's memory limit is
+// dropped. The caller holds s.mu.
+func (r *Registry) retain(s *shard, key Key, rec Record, expires time.Time) {
 	if element, ok := s.finished[key]; ok {
 		r.remove(s, element)
 	}
-	k := &kept{key: key, record: rec, expires: expires}
+	k := &finishedRecord{key: key, record: rec, expires: expires}
 	if k.size() > r.opts.MaxBytes/shardCount {
 		r.dropped.Add(1)
 		return
@@ -183,17 +189,18 @@
 	s.finished[key] = s.order.PushFront(k)
 	s.bytes += k.size()
 	r.records.Add(1)
-	r.trim(s)
+	r.evict(s)
 }
 
-// trim drops records until the shard is within its part of the limits. Only
-// finished records are dropped: a request in flight must stay findable, or a
-// second one with its key would run beside it. s.mu is held.
-func (r *Registry) trim(s *shard) {
+// evict removes the least recently used records until the shard is within its
+// share of the limits. Only finished records are evicted: if a request in flight
+// were removed, a second request with its key would run concurrently. The caller
+// holds s.mu.
+func (r *Registry) evict(s *shard) {
 	maxRecords := max(1, r.opts.MaxRecords/shardCount)
 	for s.order.Len() > maxRecords || s.bytes > r.opts.MaxBytes/shardCount {
 		oldest := s.order.Back()
-		if r.opts.Clock.Now().Before(oldest.Value.(*kept).expires) {
+		if r.opts.Clock.Now().Before(oldest.Value.(*finishedRecord).expires) {
 			r.dropped.Add(1)
 		}
 		r.remove(s, oldest)
@@ -201,15 +208,15 @@
 }
 
 func (r *Registry) remove(s *shard, element *list.Element) {
-	k := element.Value.(*kept)
+	k := element.Value.(*finishedRecord)
 	s.order.Remove(element)
 	delete(s.finished, k.key)
 	s.bytes -= k.size()
 	r.records.Add(-1)
 }
 
-// retained reports whether a record is worth keeping: one that was certainly
-// not run is not, since a resend may run.
-func retained(rec Record) bool {
+// shouldRetain reports whether a record is to be shouldRetain. The record of a
+// request that certainly did not run is not, since a retry may run.
+func shouldRetain(rec Record) bool {
 	return rec.Err == nil || rec.Err.RunState != errkind.NotRun
 }
--- a/internal/outcome/registry_test.go
+++ b/internal/outcome/registry_test.go
@@ -16,9 +16,8 @@
 
 func answer(text string) Record { return Record{Output: json.RawMessage(text)} }
 
-// Symptom: a booking is made twice and its two callers get different answers.
-// Events: the same key arrives several times while the first runs.
-// Cause: each arrival starts a run of its own.
+// Guards against duplicate execution: requests that arrive with the same key
+// while the first is in flight must wait for it instead of running again.
 func TestSameKeySharesOneRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := NewRegistry(Options{})
@@ -56,8 +55,8 @@
 	})
 }
 
-// Symptom: a caller loses its connection, asks for the outcome and learns that
-// the request was cancelled halfway. Cause: the run ends with its first caller.
+// Guards against a run that is cancelled when the caller that started it
+// disconnects: the outcome must still be available afterwards.
 func TestRunOutlivesItsCaller(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := NewRegistry(Options{})
@@ -90,7 +89,7 @@
 		}
 	}
 	if runs != 2 {
-		t.Errorf("%d runs; a request that was not run may be sent again", runs)
+		t.Errorf("%d runs; a retry of a request that did not run must run", runs)
 	}
 }
 
@@ -102,8 +101,8 @@
 	}
 }
 
-// Symptom: memory grows until the instance is killed, or a request in flight is
-// forgotten and runs twice. Cause: no limit, or one that drops what still runs.
+// Guards against unbounded memory use, and against eviction of a request in
+// flight, which would let a second request with its key run.
 func TestOnlyFinishedRecordsAreDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := NewRegistry(Options{MaxRecords: 32, MaxBytes: 1 << 20, Keep: time.Minute})
@@ -120,13 +119,13 @@
 			t.Errorf("%d records kept", n)
 		}
 		if !r.Running(testKey) {
-			t.Error("the running request was dropped")
+			t.Error("the request in flight was evicted")
 		}
 		close(stop)
 		synctest.Wait()
 		time.Sleep(2 * time.Minute)
 		if _, found := r.Lookup(testKey); found {
-			t.Error("record kept past its time")
+			t.Error("record still present after its retention")
 		}
 	})
 }
