--- a/internal/control/lease/calls_test.go
+++ b/internal/control/lease/calls_test.go
@@ -16,15 +16,15 @@
 	"lynxhill.example/lynxhill/internal/store/memstore"
 )
 
-// Symptom: the platform refuses claims because leases use its calls up.
-// Events: every one of many instances contends for every lease.
-// Cause: all read the lease objects although few may ever write them.
+// Guards against lease traffic that uses up the platform's rate limit, so that
+// claims are refused: if every instance contended for every lease, all would read
+// the lease objects although only a few of them would write them.
 func TestFewInstancesContend(t *testing.T) {
 	const services = 10
 	for _, instances := range []int{8, 100} {
 		synctest.Test(t, func(t *testing.T) {
 			s := memstore.New(memstore.Options{Seed: 1})
-			b := board.New() // one view for all
+			b := board.New() // shared by all instances
 			for _, id := range ids(instances) {
 				b.Members.Put(id, board.Member{ID: id, State: board.MemberAlive})
 			}
--- a/internal/control/lease/candidate.go
+++ b/internal/control/lease/candidate.go
@@ -11,45 +11,47 @@
 	"lynxhill.example/lynxhill/internal/store"
 )
 
-// holdCheck is how often a holder looks whether it should give its lease back.
-const holdCheck = time.Second
+// drainCheckPeriod is how often a holder checks whether it should release its
+// lease.
+const drainCheckPeriod = time.Second
 
-// contender contends for the lease of one service. Only the goroutine of
+// candidate contends for the lease of one service. Only the goroutine of
 // Manager.serve uses it.
-type contender struct {
+type candidate struct {
 	m       *Manager
 	service string
 	seen    observation
-	// sent holds the writes whose outcome is not settled, by token.
-	sent map[string]write
+	// unresolved holds the writes of this instance whose outcome is unknown, by
+	// token.
+	unresolved map[string]write
 }
 
 // observation is the lease object as last read.
 type observation struct {
 	known   bool
-	version uint64 // 0: there was no object
+	version uint64 // 0 if there was no object
 	record  record
-	// since is the boot time after the reply that first showed this version:
-	// the write cannot have been sent later.
+	// since is the boot time after the reply that first showed this version. The
+	// write cannot have been sent later than that.
 	since time.Duration
 }
 
-// write is a write of ours.
+// write is a write of the lease object by this instance.
 type write struct {
 	at       time.Duration // boot time before it was sent
 	released bool
-	// uncheckedFrom is carried over to the grant that the write makes.
+	// uncheckedFrom is UncheckedFrom of the grant if the write takes effect.
 	uncheckedFrom time.Duration
 }
 
-// step does what is due and returns how long to wait.
-func (c *contender) step(ctx context.Context) time.Duration {
+// step performs the next action and returns the time until the next call.
+func (c *candidate) step(ctx context.Context) time.Duration {
 	if grant, held := c.m.grant(c.service); held {
-		return c.keep(ctx, grant)
+		return c.maintain(ctx, grant)
 	}
 	position := c.m.position(c.service)
-	idle := position >= c.m.opts.Candidates || c.m.leaving()
-	if idle && len(c.sent) == 0 {
+	idle := position >= c.m.opts.Candidates || c.m.stoppingOrDraining()
+	if idle && len(c.unresolved) == 0 {
 		c.seen = observation{}
 		return c.jittered(c.m.opts.Duration)
 	}
@@ -59,27 +61,27 @@
 	if _, held := c.m.grant(c.service); held {
 		return 0
 	}
-	return c.tryTake(ctx, position)
+	return c.tryAcquire(ctx, position)
 }
 
-// keep renews a lease that is held.
-func (c *contender) keep(ctx context.Context, grant Grant) time.Duration {
+// maintain renews, releases or expires the lease that this instance holds.
+func (c *candidate) maintain(ctx context.Context, grant Grant) time.Duration {
 	o := c.m.opts
 	now := o.Boot.SinceBoot()
 	if now >= grant.Until {
-		c.lapse(grant)
+		c.expire(grant)
 		return 0
 	}
-	if c.m.leaving() {
+	if c.m.stoppingOrDraining() {
 		c.release(ctx)
 		return c.jittered(o.Duration)
 	}
 	renewAt := grant.Until - o.Duration + o.Duration/renewals
 	if now < renewAt {
-		return min(renewAt-now, c.holdWait())
+		return min(renewAt-now, c.holderWait())
 	}
 	if c.write(ctx, grant.Fence, grant.UncheckedFrom, false) {
-		return c.holdWait()
+		return c.holderWait()
 	}
 	if !c.observe(ctx) {
 		return c.jittered(retryPeriod)
@@ -87,40 +89,41 @@
 	return c.jittered(retryPeriod / 2)
 }
 
-// lapse gives up a lease that ran out.
-func (c *contender) lapse(grant Grant) {
+// expire drops the grant of a lease that has expired.
+func (c *candidate) expire(grant Grant) {
 	if c.m.dropGrant(c.service) {
 		c.m.opts.Metrics.Counter(metricLapsed).Add(1)
 		c.m.log(event.LeaseLapsed, c.service, grant.Fence)
 	}
 }
 
-// tryTake writes a lease of our own if the one that was read has run out.
-func (c *contender) tryTake(ctx context.Context, position int) time.Duration {
+// tryAcquire attempts to acquire the lease if the observed one has expired.
+func (c *candidate) tryAcquire(ctx context.Context, position int) time.Duration {
 	o := c.m.opts
 	now := o.Boot.SinceBoot()
-	free := c.freeFrom() + time.Duration(position)*retryPeriod
+	free := c.availableFrom() + time.Duration(position)*retryPeriod
 	if now < free {
 		return min(free-now, c.jittered(o.Duration/renewals))
 	}
 	if c.write(ctx, c.seen.version, c.uncheckedFrom(now), false) {
-		return c.holdWait()
+		return c.holderWait()
 	}
 	return c.jittered(retryPeriod)
 }
 
-// freeFrom is when the lease that was read has run out for its holder, too.
-func (c *contender) freeFrom() time.Duration {
+// availableFrom returns the time at which the observed lease has certainly expired
+// for its holder as well.
+func (c *candidate) availableFrom() time.Duration {
 	if c.seen.version == 0 || c.seen.record.Released {
 		return c.seen.since
 	}
 	return c.seen.since + c.seen.record.duration() + c.m.opts.Margin
 }
 
-// uncheckedFrom is when the last order of the holder before has run out. With
-// no object to read, there may have been a holder whose object was deleted by
-// hand, so that the wait is as long as for one just written.
-func (c *contender) uncheckedFrom(now time.Duration) time.Duration {
+// uncheckedFrom returns the time at which the last order of the previous holder has
+// certainly ended. If there is no lease object, there may be a holder whose object
+// was deleted manually, so the wait is as long as for a lease written just now.
+func (c *candidate) uncheckedFrom(now time.Duration) time.Duration {
 	o := c.m.opts
 	if c.seen.version == 0 {
 		return now + o.Duration + o.OrderTimeout + o.Margin
@@ -132,8 +135,9 @@
 	return c.seen.since + c.seen.record.duration() + order + o.Margin
 }
 
-// write makes one conditional write and returns whether it gave us the lease.
-func (c *contender) write(ctx context.Context, ifVersion uint64, uncheckedFrom time.Duration, released bool) bool {
+// write makes one conditional write of the lease object and returns whether it was
+// confirmed.
+func (c *candidate) write(ctx context.Context, ifVersion uint64, uncheckedFrom time.Duration, released bool) bool {
 	o := c.m.opts
 	token := c.m.nextToken()
 	value, err := json.Marshal(record{
@@ -143,28 +147,29 @@
 	if err != nil {
 		return false
 	}
-	// The lease counts from before the write is sent. Counted from the reply,
-	// a slow reply would let two holders overlap.
+	// The lease is measured from before the write is sent. If it were measured
+	// from the reply, a slow reply would make the leases of two holders overlap.
 	w := write{at: o.Boot.SinceBoot(), uncheckedFrom: uncheckedFrom, released: released}
 	callCtx, cancel := loop.WithTimeout(ctx, o.Clock, callTimeout)
 	defer cancel()
 	object, err := o.Store.Put(callCtx, KeyPrefix+c.service, value, ifVersion)
 	o.Metrics.Labelled(metricWrites).Add(resultOf(err), 1)
 	if err == nil {
-		c.adopt(w, object.Version)
+		c.applyWrite(w, object.Version)
 		return true
 	}
 	if mayHaveBeenWritten(err) {
 		c.m.log(event.LeaseUnknown, c.service, ifVersion)
-		if c.sent == nil {
-			c.sent = make(map[string]write)
+		if c.unresolved == nil {
+			c.unresolved = make(map[string]write)
 		}
-		c.sent[token] = w
+		c.unresolved[token] = w
 	}
 	return false
 }
 
-// mayHaveBeenWritten is true unless the store said that nothing was written.
+// mayHaveBeenWritten reports whether a write that returned err may have taken
+// effect. It is false only for errors that rule that out.
 func mayHaveBeenWritten(err error) bool {
 	for _, certain := range []error{store.ErrConflict, store.ErrUnavailable, store.ErrThrottled, store.ErrTooLarge, store.ErrNotFound} {
 		if errors.Is(err, certain) {
@@ -187,11 +192,11 @@
 	}
 }
 
-// adopt takes over the effect of a write of ours that is in the store under
-// the version.
-func (c *contender) adopt(w write, version uint64) {
+// applyWrite updates the state for a write of this instance that is in the store with
+// the given version.
+func (c *candidate) applyWrite(w write, version uint64) {
 	o := c.m.opts
-	clear(c.sent)
+	clear(c.unresolved)
 	c.seen = observation{known: true, version: version, since: o.Boot.SinceBoot(), record: record{
 		Holder: o.Self, Released: w.released,
 		DurationMS: o.Duration.Milliseconds(), OrderMS: o.OrderTimeout.Milliseconds(),
@@ -206,16 +211,16 @@
 	}
 }
 
-// observe reads the lease object back and settles writes whose reply was
-// lost. It returns false if the object could not be read.
-func (c *contender) observe(ctx context.Context) bool {
+// observe reads the lease object and resolves writes whose outcome is unknown. It
+// returns false if the object could not be read.
+func (c *candidate) observe(ctx context.Context) bool {
 	o := c.m.opts
 	callCtx, cancel := loop.WithTimeout(ctx, o.Clock, callTimeout)
 	defer cancel()
 	o.Metrics.Counter(metricReads).Add(1)
 	object, err := o.Store.Get(callCtx, KeyPrefix+c.service)
 	if errors.Is(err, store.ErrNotFound) {
-		c.see(store.Object{}, record{})
+		c.applyObservation(store.Object{}, record{})
 		return true
 	}
 	if err != nil {
@@ -225,17 +230,17 @@
 	if !readable && object.Version != c.seen.version {
 		c.m.log(event.LeaseUnreadable, c.service, object.Version)
 	}
-	c.see(object, r)
+	c.applyObservation(object, r)
 	return true
 }
 
-// see takes in the object as read.
-func (c *contender) see(object store.Object, r record) {
+// applyObservation updates the state with the lease object as read.
+func (c *candidate) applyObservation(object store.Object, r record) {
 	if object.Version != 0 && object.Version < c.seen.version {
-		return // an old state: what was seen later holds
+		return // stale read: a later version has been observed already
 	}
-	if w, ours := c.sent[r.Token]; ours && object.Version != 0 {
-		c.adopt(w, object.Version)
+	if w, ours := c.unresolved[r.Token]; ours && object.Version != 0 {
+		c.applyWrite(w, object.Version)
 		return
 	}
 	if grant, held := c.m.grant(c.service); held && object.Version != grant.Fence {
@@ -245,17 +250,18 @@
 	if c.seen.known && c.seen.version == object.Version {
 		return
 	}
-	// A write of ours that is not the object's current one was conditional on
-	// a version that is past: it can no longer take effect.
+	// An unresolved write that is not the object's current version was conditional
+	// on an earlier version. It can no longer take effect.
 	if c.seen.known {
-		clear(c.sent)
+		clear(c.unresolved)
 	}
 	c.seen = observation{known: true, version: object.Version, record: r, since: c.m.opts.Boot.SinceBoot()}
 }
 
-// release gives the lease back, so that the next holder need not wait it out.
-// From the moment before the write no order is given.
-func (c *contender) release(ctx context.Context) {
+// release releases the lease, so that the next holder need not wait until it
+// expires. The grant is dropped before the write is sent, so that no order is given
+// from then on.
+func (c *candidate) release(ctx context.Context) {
 	grant, held := c.m.grant(c.service)
 	if !held {
 		return
@@ -267,10 +273,10 @@
 	c.m.log(event.LeaseReleased, c.service, grant.Fence)
 }
 
-func (c *contender) holdWait() time.Duration {
-	return c.jittered(min(holdCheck, c.m.opts.Duration/renewals))
+func (c *candidate) holderWait() time.Duration {
+	return c.jittered(min(drainCheckPeriod, c.m.opts.Duration/renewals))
 }
 
-func (c *contender) jittered(d time.Duration) time.Duration {
+func (c *candidate) jittered(d time.Duration) time.Duration {
 	return c.m.rand.Spread(d, jitter)
 }
--- a/internal/control/lease/check.go
+++ b/internal/control/lease/check.go
@@ -2,24 +2,25 @@
 
 import "time"
 
-// Grant is a lease that this instance holds. Times are of the boot clock.
+// Grant is a lease that this instance holds. Times are on the boot clock.
 type Grant struct {
 	// Fence is the fencing number that orders carry.
 	Fence uint64
-	// Until is the end of the lease.
+	// Until is when the lease expires.
 	Until time.Duration
-	// UncheckedFrom is when orders may first be given to engines that do not
-	// check fencing numbers.
+	// UncheckedFrom is the earliest time for orders to engines that do not check
+	// fencing numbers.
 	UncheckedFrom time.Duration
 }
 
-// Lessor answers whether this instance may give orders. Manager implements it.
+// Lessor reports whether this instance may give orders. Manager implements it.
 type Lessor interface {
-	// Check returns the grant if an order that takes up to need may be given
-	// now. It reads the boot clock, so call it directly before each order.
+	// Check reports whether an order that takes up to need may be given now.
+	// checksFence says whether the engine checks fencing numbers. The result
+	// depends on the boot clock, so call Check directly before each order.
 	Check(service string, need time.Duration, checksFence bool) (Grant, bool)
-	// OrderTimeout is the longest time that an order may be under way. Whoever
-	// takes the lease over counts on it.
+	// OrderTimeout is the maximum time that an order may take. The next holder of
+	// the lease relies on it.
 	OrderTimeout() time.Duration
 }
 
@@ -28,10 +29,10 @@
 
 // Check implements Lessor.
 //
-// A holder that was paused still believes that it holds the lease. The sign
-// would be two instances changing one engine at the same time. The boot clock
-// goes on while the machine is suspended, so that the first check after the
-// pause fails, whatever the rest of the process believes.
+// A holder that was paused still has its grant, although another instance may hold
+// the lease by now; both could then change one engine at the same time. The boot
+// clock continues while the host is suspended, so the first check after the pause
+// fails, regardless of the state of the rest of the process.
 func (m *Manager) Check(service string, need time.Duration, checksFence bool) (Grant, bool) {
 	m.mu.Lock()
 	grant, held := m.grants[service]
--- a/internal/control/lease/manager.go
+++ b/internal/control/lease/manager.go
@@ -22,8 +22,8 @@
 
 // Periods of the manager.
 const (
-	servicesPeriod = 2 * time.Second // how often the set of services is looked at
-	callTimeout    = 3 * time.Second // longest wait for one store call
+	servicesPeriod = 2 * time.Second // how often the set of services is read
+	callTimeout    = 3 * time.Second // timeout of one store call
 	retryPeriod    = 500 * time.Millisecond
 	jitter         = 0.2
 	renewals       = 3 // a lease is renewed this many times within its duration
@@ -31,29 +31,29 @@
 
 // Manager holds the leases of this instance. It implements Lessor.
 type Manager struct {
-	opts Options
-	rand *loop.Rand
-	life string // names this run of the process in tokens
+	opts  Options
+	rand  *loop.Rand
+	runID string // identifies this run of the process in tokens
 
 	mu     sync.Mutex // guards grants and writes
 	grants map[string]Grant
 	writes uint64
 }
 
-// NewManager returns a manager that holds nothing until Run.
+// NewManager returns a manager that holds no lease until Run is called.
 func NewManager(opts Options) *Manager {
 	opts = opts.withDefaults()
 	random := loop.NewRand(opts.Rand)
 	return &Manager{
 		opts:   opts,
 		rand:   random,
-		life:   fmt.Sprintf("%s/%x/%x", opts.Self, opts.Clock.Now().UnixNano(), int64(random.Float64()*(1<<52))),
+		runID:  fmt.Sprintf("%s/%x/%x", opts.Self, opts.Clock.Now().UnixNano(), int64(random.Float64()*(1<<52))),
 		grants: make(map[string]Grant),
 	}
 }
 
-// Run contends for the leases of all services until ctx ends, then gives back
-// those that it holds.
+// Run contends for the leases of all services until ctx ends, then releases those
+// that it holds.
 func (m *Manager) Run(ctx context.Context) {
 	contentions := loop.NewTasks(m.serve)
 	loop.Run(ctx, loop.Options{
@@ -64,7 +64,7 @@
 
 // serve contends for one lease until ctx ends.
 func (m *Manager) serve(ctx context.Context, service string) {
-	c := &contender{m: m, service: service}
+	c := &candidate{m: m, service: service}
 	for ctx.Err() == nil {
 		wait := c.step(ctx)
 		c.publish()
@@ -76,13 +76,15 @@
 	c.publish()
 }
 
-// position is the rank of this instance among the live ones for the service.
+// position returns the rank of this instance among the live instances for the
+// service.
 func (m *Manager) position(service string) int {
 	return rendezvous.Position(KeyPrefix+service, m.opts.Self, m.opts.Board.LiveMembers(m.opts.Self))
 }
 
-// leaving reports that this instance should hold no lease: it is about to go.
-func (m *Manager) leaving() bool {
+// stoppingOrDraining reports whether this instance is stopping or draining and thus
+// should hold no lease.
+func (m *Manager) stoppingOrDraining() bool {
 	self, _ := m.opts.Board.Self.Get(board.SelfRow)
 	return self.Stopping || self.Draining
 }
@@ -91,11 +93,11 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.writes++
-	return fmt.Sprintf("%s/%d", m.life, m.writes)
+	return fmt.Sprintf("%s/%d", m.runID, m.writes)
 }
 
-// publish writes what is known of the lease to the board.
-func (c *contender) publish() {
+// publish writes the known state of the lease to the board.
+func (c *candidate) publish() {
 	m := c.m
 	grant, held := m.grant(c.service)
 	row := board.Lease{Service: c.service, Holder: c.seen.record.Holder, Fence: c.seen.version}
--- a/internal/control/lease/manager_test.go
+++ b/internal/control/lease/manager_test.go
@@ -19,9 +19,9 @@
 
 const service = "lynx-pool"
 
-// node is one instance of the test: a manager with a boot clock that a
-// suspension moves on.
-type node struct {
+// testInstance is a manager with a boot clock that can be advanced to simulate a
+// suspension of the host.
+type testInstance struct {
 	id        string
 	board     *board.Board
 	manager   *Manager
@@ -30,8 +30,8 @@
 	done      chan struct{}
 }
 
-func startNode(id string, ids []string, s Store, seed uint64) *node {
-	n := &node{id: id, board: board.New(), done: make(chan struct{})}
+func startInstance(id string, ids []string, s Store, seed uint64) *testInstance {
+	n := &testInstance{id: id, board: board.New(), done: make(chan struct{})}
 	for _, other := range ids {
 		n.board.Members.Put(other, board.Member{ID: other, State: board.MemberAlive})
 	}
@@ -53,7 +53,7 @@
 	return n
 }
 
-func (n *node) finish() {
+func (n *testInstance) finish() {
 	n.stop()
 	<-n.done
 }
@@ -66,9 +66,9 @@
 	return all
 }
 
-func holders(nodes []*node, checksFence bool) []string {
+func holders(instances []*testInstance, checksFence bool) []string {
 	var all []string
-	for _, n := range nodes {
+	for _, n := range instances {
 		if _, ok := n.manager.Check(service, time.Second, checksFence); ok {
 			all = append(all, n.id)
 		}
@@ -76,41 +76,42 @@
 	return all
 }
 
-func TestOneHolderAndHandOver(t *testing.T) {
+func TestReleasedLeaseIsAcquiredByAnother(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := memstore.New(memstore.Options{Seed: 1})
-		var nodes []*node
+		var instances []*testInstance
 		for i, id := range ids(5) {
-			nodes = append(nodes, startNode(id, ids(5), s, uint64(i)))
+			instances = append(instances, startInstance(id, ids(5), s, uint64(i)))
 		}
 		time.Sleep(time.Minute)
-		first := holders(nodes, false)
+		first := holders(instances, false)
 		if len(first) != 1 {
 			t.Fatalf("holders after a minute: %v", first)
 		}
-		for _, n := range nodes {
+		for _, n := range instances {
 			if n.id == first[0] {
 				n.finish()
 			}
 		}
 		time.Sleep(20 * time.Second)
-		second := holders(nodes, false)
+		second := holders(instances, false)
 		if len(second) != 1 || second[0] == first[0] {
 			t.Fatalf("holders after %s stopped: %v", first[0], second)
 		}
-		for _, n := range nodes {
+		for _, n := range instances {
 			n.finish()
 		}
 	})
 }
 
-// Symptom: an instance gives orders although another one holds the lease.
-// Events: the holder's machine is suspended for longer than its lease; another
-// instance takes the lease; the first one wakes and goes on where it was.
-// Cause: its own timers did not run meanwhile, so only the boot clock tells.
+// Guards against an instance that gives orders although another one holds the
+// lease. The holder's host is suspended for longer than the lease, and another
+// instance acquires it. The timers of the first instance did not run during the
+// suspension, so after resuming only its boot clock shows that the lease has
+// expired.
 func TestSuspendedHolderFailsCheckAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n := startNode("i-00", ids(1), memstore.New(memstore.Options{Seed: 1}), 1)
+		n := startInstance("i-00", ids(1), memstore.New(memstore.Options{Seed: 1}), 1)
 		defer n.finish()
 		time.Sleep(time.Minute)
 		if !n.manager.Holds(service) {
@@ -123,15 +124,15 @@
 	})
 }
 
-// Symptom: nobody gives orders although the store works.
-// Events: every reply to a write is lost after the write took effect.
-// Cause: the instance that holds the lease does not know it, and waits its own
-// lease out again and again.
+// Guards against a service without orders although the store works. Every reply to
+// a write is lost after the write has taken effect; without reading the object
+// back, the instance would not recognise its own lease and would repeatedly wait
+// for it to expire.
 func TestLostRepliesAreReadBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := memstore.New(memstore.Options{Seed: 1})
 		s.SetFaults(memstore.Faults{LoseReply: 1})
-		n := startNode("i-00", ids(1), s, 1)
+		n := startInstance("i-00", ids(1), s, 1)
 		defer n.finish()
 		time.Sleep(5 * time.Second)
 		for range 120 {
--- a/internal/control/lease/options.go
+++ b/internal/control/lease/options.go
@@ -1,13 +1,14 @@
-// Package lease decides which instance gives orders to the engines of a
-// service: the holder of the service's lease, an object in the platform's
-// store. The object's version is the fencing number.
+// Package lease elects, for each service, the instance that may give orders to the
+// service's engines: the holder of the service's lease. The lease is an object in
+// the platform's store; the version of the object is the fencing number.
 //
-// Safety rests on three rules. Every write is conditional on the version that
-// was read. A holder counts its lease from the moment before the write was
-// sent, on a clock that also counts suspended time, and checks that clock
-// before every order. Everybody else counts the lease from the moment after
-// the version was read, so that a lease seems longer from outside than to its
-// holder. Who may try is only a hint, taken from membership.
+// At most one instance holds a lease because of three rules. Every write is
+// conditional on the version that was read. A holder measures its lease from just
+// before it sent the write, on a clock that also counts suspended time, and checks
+// that clock before every order. All other instances measure the lease from just
+// after they read the version, so that for them it ends later than for its holder.
+// Membership only limits which instances contend for a lease; safety does not
+// depend on it.
 package lease
 
 import (
@@ -25,27 +26,29 @@
 	"lynxhill.example/lynxhill/internal/store"
 )
 
-// KeyPrefix is where leases are kept in the store; the service follows.
+// KeyPrefix is the prefix of the keys of lease objects in the store. The name of
+// the service follows it.
 const KeyPrefix = "leases/"
 
 // Defaults of Options.
 const (
 	DefaultDuration   = 10 * time.Second
 	DefaultCandidates = 3
-	// marginPart and orderPart of the lease are the margin and the longest
-	// time of an order, unless they are set. Since an order has to end inside
-	// the lease less the margin, longer ones would leave little of it.
-	marginPart = 8
-	orderPart  = 3
+	// If Margin and OrderTimeout are not set, they are Duration divided by
+	// marginDivisor and orderTimeoutDivisor. An order has to end within the lease
+	// minus the margin, so a longer OrderTimeout would leave little time in which
+	// orders can be given.
+	marginDivisor       = 8
+	orderTimeoutDivisor = 3
 )
 
-// Store is what the manager needs of the platform.
+// Store is the part of the platform's store that the manager uses.
 type Store interface {
 	store.Reader
 	store.Writer
 }
 
-// Options configure a Manager.
+// Options configures a Manager.
 type Options struct {
 	Store  Store
 	Board  *board.Board
@@ -57,24 +60,25 @@
 	Metrics *metrics.Registry
 	// Self is the id of this instance.
 	Self string
-	// Services names the services whose engines take orders; nil means those
-	// with generating targets or with a model named by a profile in force.
+	// Services returns the services whose engines accept orders. If nil, these are
+	// the services with generating targets and those for which an active profile
+	// names a model.
 	Services func() []string
-	// Duration is how long a lease lasts unless it is renewed.
+	// Duration is the time after which a lease expires unless it is renewed.
 	Duration time.Duration
-	// Margin covers differences in the rate of the instances' clocks and the
-	// time between the check of the lease and the sending of an order.
+	// Margin covers rate differences between the instances' clocks and the time
+	// between the check of the lease and the sending of an order.
 	Margin time.Duration
-	// OrderTimeout is the longest time that an order can be under way.
+	// OrderTimeout is the maximum time that an order can take.
 	OrderTimeout time.Duration
-	// Candidates is how many of the live instances try for a lease.
+	// Candidates is how many of the live instances contend for a lease.
 	Candidates int
 }
 
 func (o Options) withDefaults() Options {
 	defaults.Positive(&o.Duration, DefaultDuration)
-	defaults.Positive(&o.Margin, o.Duration/marginPart)
-	defaults.Positive(&o.OrderTimeout, o.Duration/orderPart)
+	defaults.Positive(&o.Margin, o.Duration/marginDivisor)
+	defaults.Positive(&o.OrderTimeout, o.Duration/orderTimeoutDivisor)
 	defaults.Positive(&o.Candidates, DefaultCandidates)
 	if o.Services == nil {
 		o.Services = func() []string { return engineServices(o.Board) }
@@ -82,13 +86,13 @@
 	return o
 }
 
-// engineServices returns the services whose targets hold models: those with
-// generating targets, and those for which a profile in force names a model.
+// engineServices returns the services whose targets serve models: those with
+// generating targets, and those for which an active profile names a model.
 func engineServices(b *board.Board) []string {
 	named := make(map[string]bool)
 	for _, p := range b.Profiles.Snapshot() {
 		if !p.Deleted {
-			nameServices(named, p.Profile)
+			addModelServices(named, p.Profile)
 		}
 	}
 	services := make(map[string]bool)
@@ -100,7 +104,7 @@
 	return slices.Sorted(maps.Keys(services))
 }
 
-func nameServices(named map[string]bool, p profile.Profile) {
+func addModelServices(named map[string]bool, p profile.Profile) {
 	for _, stage := range p.Stages {
 		for _, provider := range stage.Providers {
 			if provider.Model != "" {
--- a/internal/control/lease/record.go
+++ b/internal/control/lease/record.go
@@ -5,27 +5,27 @@
 	"time"
 )
 
-// record is the lease object's value.
+// record is the value of a lease object.
 type record struct {
 	Holder string `json:"holder"`
-	// Token names the write, so that a writer whose reply was lost recognises
-	// its own.
+	// Token identifies the write, so that a writer that did not receive the reply
+	// recognises its own write.
 	Token string `json:"token"`
-	// DurationMS is how long the lease lasts from the moment before the write
+	// DurationMS is the duration of the lease, measured from just before the write
 	// was sent.
 	DurationMS int64 `json:"duration_ms"`
-	// OrderMS is the longest time that an order of the holder is under way.
+	// OrderMS is the maximum time that an order of the holder takes.
 	OrderMS int64 `json:"order_ms"`
-	// Released says that the holder gave the lease back.
+	// Released says that the holder has released the lease.
 	Released bool `json:"released,omitempty"`
 }
 
 func (r record) duration() time.Duration { return time.Duration(r.DurationMS) * time.Millisecond }
 func (r record) order() time.Duration    { return time.Duration(r.OrderMS) * time.Millisecond }
 
-// parse reads a lease object. One that cannot be read counts as held by an
-// unknown holder for the given duration: taking it at once could make two
-// order-givers.
+// parse decodes the value of a lease object. A malformed object is treated as a
+// lease of an unknown holder with the given duration and order timeout, and false
+// is returned: if it were acquired immediately, two instances could give orders.
 func parse(value []byte, duration, order time.Duration) (record, bool) {
 	var r record
 	if err := json.Unmarshal(value, &r); err != nil || r.Token == "" {
