--- a/internal/httpserver/answer.go
+++ b/internal/httpserver/answer.go
@@ -9,28 +9,28 @@
 	"lynxhill.example/lynxhill/internal/errkind"
 )
 
-// defaultRetryAfter is sent with kinds that may be resent later when the error
-// does not say when.
+// defaultRetryAfter is the retry time sent with an error that may be retried
+// later and carries no time of its own.
 const defaultRetryAfter = time.Second
 
-// WriteJSON answers with the message as JSON.
+// WriteJSON writes a response with the message as its JSON body.
 func WriteJSON(w http.ResponseWriter, status int, message any) {
 	raw, err := json.Marshal(message)
 	if err != nil {
 		WriteError(w, errkind.Wrap(err, errkind.Internal, "answer"), "")
 		return
 	}
-	// A client that does not take its answer would hold the connection.
+	// A client that does not read its response would occupy the connection.
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(DefaultWriteTimeout))
 	w.Header().Set("Content-Type", "application/json; charset=utf-8")
 	w.Header().Set("Content-Length", strconv.Itoa(len(raw)))
 	w.Header().Set("Cache-Control", "no-store")
 	w.WriteHeader(status)
-	_, _ = w.Write(raw) // the caller may be gone; there is nobody else to tell
+	_, _ = w.Write(raw) // fails if the caller has disconnected; there is no one to report it to
 }
 
-// WriteError answers with the error's row of the table: status, body and, if
-// the caller may come back, Retry-After.
+// WriteError writes the response that package errkind defines for the error's
+// kind: the status, the body and, if the caller may retry later, Retry-After.
 func WriteError(w http.ResponseWriter, err error, requestID string) {
 	body := ErrorBody(err, requestID)
 	if body.RetryAfterMS > 0 {
@@ -42,8 +42,8 @@
 	WriteJSON(w, errkind.Of(err).Answer().Status, body)
 }
 
-// ErrorBody returns the body of an error, with a time to come back after for
-// every kind that may be resent later.
+// ErrorBody returns the body of an error, with a retry time for every kind that
+// may be retried later.
 func ErrorBody(err error, requestID string) errkind.Body {
 	body := errkind.BodyOf(err, requestID)
 	if body.Resend == errkind.ResendLater && body.RetryAfterMS <= 0 {
--- a/internal/httpserver/body.go
+++ b/internal/httpserver/body.go
@@ -16,18 +16,19 @@
 
 // Defaults for the time that a client may take.
 const (
-	// DefaultBodyTimeout is how long a client may take for its whole body.
+	// DefaultBodyTimeout is how long a client may take to send its whole body.
 	DefaultBodyTimeout = 10 * time.Second
-	// DefaultWriteTimeout is how long a client may take for a piece of the answer.
+	// DefaultWriteTimeout is how long a client may take to receive one piece of
+	// the response.
 	DefaultWriteTimeout = 10 * time.Second
 )
 
-// bodyDeadline bounds the time that a request's body may take to arrive.
+// bodyDeadline limits the time that a request's body may take to arrive.
 //
-// A handler that answers without reading the body, such as one that refuses
-// the token, would otherwise hang: net/http first reads the rest of a small
-// body, and a client that never sends it would hold the connection for good.
-// net/http lifts the deadline itself once the body has been read.
+// Without it, a response from a handler that does not read the body, such as one
+// that rejects the token, could be delayed for ever: net/http first reads the
+// rest of a small body, and a client that never sends it would occupy the
+// connection. net/http clears the deadline itself once the body has been read.
 func bodyDeadline(timeout time.Duration) Middleware {
 	if timeout <= 0 {
 		timeout = DefaultBodyTimeout
@@ -43,7 +44,8 @@
 }
 
 // ReadBody reads the whole body, at most limit bytes. Errors are of kind
-// TooLarge or BadRequest. The time for it is bounded by the router.
+// TooLarge or BadRequest. The router limits the time that the body may take to
+// arrive.
 func ReadBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, error) {
 	if r.ContentLength > limit {
 		return nil, tooLarge(limit)
@@ -72,7 +74,7 @@
 }
 
 // DecodeJSON decodes a body strictly into message: one JSON value, no unknown
-// field. Errors are of kind BadRequest and one sentence.
+// fields. Errors are of kind BadRequest, and their message is one sentence.
 func DecodeJSON(body []byte, message any) error {
 	decoder := json.NewDecoder(bytes.NewReader(body))
 	decoder.DisallowUnknownFields()
@@ -85,7 +87,7 @@
 	return nil
 }
 
-// jsonFault puts the library's error into a sentence without Go's type names.
+// jsonFault describes an error of encoding/json without the names of Go types.
 func jsonFault(err error) string {
 	var syntax *json.SyntaxError
 	var mismatch *json.UnmarshalTypeError
--- a/internal/httpserver/gozero.go
+++ b/internal/httpserver/gozero.go
@@ -15,21 +15,22 @@
 	"lynxhill.example/lynxhill/internal/event"
 )
 
-// DisarmGoZero takes away what go-zero does to a process that merely imports
-// it. Its package proc listens to signals from its init on: 5.5 s after the
-// first SIGTERM or SIGINT it sends the process the same signal again, which
-// ends it with requests in flight, and on SIGUSR1 and SIGUSR2 it writes files.
-// Call it first in main, and again once the program has begun its work, since
-// go-zero asks for its signals from a goroutine that may run later than main.
+// DisarmGoZero disables side effects that go-zero has on any process that
+// imports it. Its package proc handles signals from its init on: 5.5 s after the
+// first SIGTERM or SIGINT it sends the same signal to the process again, which
+// terminates it with requests in flight, and on SIGUSR1 and SIGUSR2 it writes
+// files. Call DisarmGoZero first in main, and again once the program has begun
+// its work, since go-zero registers for signals in a goroutine that may run
+// later than main.
 func DisarmGoZero() {
-	proc.SetTimeToForceQuit(time.Duration(math.MaxInt64)) // the time never comes
+	proc.SetTimeToForceQuit(time.Duration(math.MaxInt64)) // never
 	signal.Ignore(syscall.SIGUSR1, syscall.SIGUSR2)
 	logx.DisableStat()
 }
 
-// BridgeLogs sends what go-zero logs to the logger, and what is written to the
-// standard logger, as net/http's client side does. The destinations are global
-// to the process, so this is for main, not for an instance.
+// BridgeLogs redirects go-zero's log and the standard logger, to which the
+// client side of net/http writes, to the logger. Both are global to the process,
+// so BridgeLogs is meant for main, not for an instance.
 func BridgeLogs(logger *event.Logger) {
 	logx.SetWriter(logBridge{logger: logger})
 	log.SetFlags(0)
@@ -41,7 +42,7 @@
 	logger *event.Logger
 }
 
-// Write takes a line of the standard logger.
+// Write logs a line of the standard logger as a warning.
 func (b logBridge) Write(p []byte) (int, error) {
 	b.warn(strings.TrimSpace(string(p)))
 	return len(p), nil
--- a/internal/httpserver/gozero_test.go
+++ b/internal/httpserver/gozero_test.go
@@ -13,8 +13,8 @@
 	"lynxhill.example/lynxhill/internal/event"
 )
 
-// Symptom: lines without a number on stderr, which no search for events finds.
-// Cause: libraries that write to the standard logger.
+// Guards against lines without an event number on stderr, which a search for
+// events does not find: some libraries write to the standard logger.
 func TestLibrariesLogNumberedEvents(t *testing.T) {
 	var lines bytes.Buffer
 	flags := log.Flags()
--- a/internal/httpserver/hazards_test.go
+++ b/internal/httpserver/hazards_test.go
@@ -18,9 +18,9 @@
 	"github.com/zeromicro/go-zero/rest/handler"
 )
 
-// The tests of this file show what go-zero's own middlewares and its package
-// proc do, and that our router and server do not. Should a new version of
-// go-zero change its ways, the first half of a test says so.
+// The tests of this file show faults of go-zero's own middlewares and of its
+// package proc, and that this package's router and server do not have them. If a
+// new version of go-zero behaves differently, the first half of a test fails.
 
 func TestMain(m *testing.M) {
 	logx.Disable()
@@ -35,7 +35,7 @@
 
 func newRequest() *http.Request { return httptest.NewRequest(http.MethodPost, "/x", nil) }
 
-func ours(t *testing.T, h http.HandlerFunc) http.Handler {
+func newTestRouter(t *testing.T, h http.HandlerFunc) http.Handler {
 	t.Helper()
 	router, err := NewRouter(route(h))
 	if err != nil {
@@ -44,9 +44,9 @@
 	return router
 }
 
-// Symptom: a caller is told 503 and sends a booking again; two are made.
-// Events: go-zero's timeout passes while the handler is running. Cause: its
-// middleware answers 503 without a body and leaves the handler running.
+// Guards against a request that runs twice, such as a booking, because the
+// caller gets a 503 and retries: when go-zero's timeout passes, its middleware
+// answers 503 without a body and leaves the handler running.
 func TestTimeoutOfGoZeroAnswersWhileTheHandlerGoesOn(t *testing.T) {
 	release, ran := make(chan struct{}), make(chan struct{})
 	slow := http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
@@ -58,10 +58,10 @@
 		t.Fatalf("go-zero's timeout answered %d %s", answer.Code, answer.Body)
 	}
 	close(release)
-	<-ran // the handler went on after the answer
+	<-ran // the handler continued after the response
 
 	ended := false
-	answer = call(ours(t, func(w http.ResponseWriter, _ *http.Request) {
+	answer = call(newTestRouter(t, func(w http.ResponseWriter, _ *http.Request) {
 		time.Sleep(10 * time.Millisecond)
 		ended = true
 		_, _ = io.WriteString(w, "whole")
@@ -71,10 +71,10 @@
 	}
 }
 
-// Symptom: requests are refused outside the table of error kinds although
-// targets have room. Events: some targets fail, so that answers are 502 for a
-// while. Cause: go-zero's breaker takes our honest answers for a broken
-// service and refuses most requests itself, with an empty 503.
+// Guards against requests that are refused without an error kind although
+// targets have capacity: while some targets fail and responses are 502, go-zero's
+// circuit breaker treats these responses as a failure of the service and refuses
+// most requests itself, with an empty 503.
 func TestBreakerOfGoZeroRefusesOnItsOwn(t *testing.T) {
 	const requests = 500
 	failing := func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusBadGateway) }
@@ -90,19 +90,19 @@
 	if refused := count(breaker(http.HandlerFunc(failing))); refused == 0 {
 		t.Fatal("go-zero's breaker refused nothing")
 	}
-	if refused := count(ours(t, failing)); refused != 0 {
+	if refused := count(newTestRouter(t, failing)); refused != 0 {
 		t.Fatalf("ours refused %d of %d", refused, requests)
 	}
 }
 
-// refuser stands for go-zero's shedder at a moment of high load of the CPU.
+// refuser is go-zero's load shedder in the state of high CPU load.
 type refuser struct{}
 
 func (refuser) Allow() (load.Promise, error) { return nil, load.ErrServiceOverloaded }
 
-// Symptom: requests are refused without run state, resend advice and
-// Retry-After while the machine is busy. Cause: go-zero's shedding middleware
-// answers an empty 503 by itself; nothing of ours decides or counts it.
+// Guards against requests that are refused without run state, resend advice and
+// Retry-After while the CPU is busy: go-zero's shedding middleware answers an
+// empty 503 by itself, which lynxhill neither decides nor counts.
 func TestSheddingOfGoZeroAnswersOutsideTheTable(t *testing.T) {
 	served := func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "whole") }
 	shedding := handler.SheddingHandler(refuser{}, stat.NewMetrics("test"))
@@ -110,14 +110,14 @@
 	if answer.Code != http.StatusServiceUnavailable || answer.Body.Len() != 0 {
 		t.Fatalf("go-zero's shedding answered %d %s", answer.Code, answer.Body)
 	}
-	if answer := call(ours(t, served), newRequest()); answer.Body.String() != "whole" {
+	if answer := call(newTestRouter(t, served), newRequest()); answer.Body.String() != "whole" {
 		t.Fatalf("ours answered %d %s", answer.Code, answer.Body)
 	}
 }
 
-// Symptom: large inputs are refused without a reason, or, sent in chunks, fill
-// the memory. Cause: go-zero's body limit answers an empty 413 from the
-// announced length and does not count what arrives in chunks.
+// Guards against large inputs that are refused without a reason or, if chunked,
+// fill the memory: go-zero's body limit answers an empty 413 based on the
+// announced length and does not count the bytes of a chunked body.
 func TestBodyLimitOfGoZeroMissesChunks(t *testing.T) {
 	const limit = 10
 	read := func(w http.ResponseWriter, r *http.Request) {
@@ -145,20 +145,20 @@
 		t.Fatalf("go-zero's limit let %d bytes through in chunks", answer.Body.Len())
 	}
 	for _, announced := range []bool{true, false} {
-		answer := call(ours(t, read), request(announced))
+		answer := call(newTestRouter(t, read), request(announced))
 		if answer.Code != http.StatusRequestEntityTooLarge || !strings.Contains(answer.Body.String(), `"kind":"too_large"`) {
 			t.Fatalf("ours answered %d %s (length announced: %t)", answer.Code, answer.Body, announced)
 		}
 	}
 }
 
-// Symptom: a planned stop cuts requests in flight after 5.5 s. Events: the
-// supervisor sends SIGTERM; requests take longer. Cause: go-zero's package
-// proc, from its init on, sends the process the signal again after a while.
+// Guards against a planned stop that aborts requests in flight after 5.5 s: the
+// supervisor sends SIGTERM, and if requests take longer, go-zero's package proc,
+// active from its init on, sends the signal to the process again.
 //
-// The library does this once in a process, so this test can't show both
-// halves; to see the first, leave out DisarmGoZero: the second SIGTERM comes
-// after the two milliseconds set here.
+// The library does this once per process, so this test cannot show the fault as
+// well. Without the call of DisarmGoZero, the second SIGTERM arrives after the
+// two milliseconds set here.
 func TestGoZeroDoesNotRepeatSIGTERM(t *testing.T) {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM)
@@ -171,7 +171,7 @@
 	<-signals
 	select {
 	case <-signals:
-		t.Fatal("a second SIGTERM came without anybody sending it")
+		t.Fatal("the process got a second SIGTERM that the test did not send")
 	case <-time.After(200 * time.Millisecond):
 	}
 }
--- a/internal/httpserver/httpserver_test.go
+++ b/internal/httpserver/httpserver_test.go
@@ -17,7 +17,7 @@
 	"lynxhill.example/lynxhill/internal/memnet"
 )
 
-// bench is a server on a listener in memory with a client of its own.
+// bench is a server on an in-memory listener, with a client.
 type bench struct {
 	t        *testing.T
 	listener *memnet.Listener
@@ -25,8 +25,8 @@
 	client   *http.Client
 }
 
-// newBench starts a server with the routes; http2 makes the client speak
-// HTTP/2 in clear text.
+// newBench starts a server with the routes; http2 makes the client use HTTP/2 in
+// clear text.
 func newBench(t *testing.T, opts RouterOptions, http2 bool) *bench {
 	t.Helper()
 	handler, err := NewRouter(opts)
@@ -78,9 +78,9 @@
 	}
 }
 
-// Symptom: a planned stop cuts answers. Events: a request is running when the
-// stop begins. Cause: a server that closes its connections instead of waiting,
-// or that waits for a fixed time only.
+// Guards against a planned stop that truncates responses: a server with a
+// request in flight closes its connections instead of waiting, or waits only for
+// a fixed time.
 func TestShutdownWaitsForTheRequestInFlight(t *testing.T) {
 	bothProtocols(t, func(t *testing.T, http2 bool) {
 		b := newBench(t, route(func(w http.ResponseWriter, _ *http.Request) {
@@ -94,9 +94,9 @@
 			answer <- body
 		}()
 		synctest.Wait()
-		impatient, cancel := context.WithTimeout(t.Context(), time.Minute)
+		shortCtx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
-		if err := b.server.Shutdown(impatient); err == nil {
+		if err := b.server.Shutdown(shortCtx); err == nil {
 			t.Fatal("Shutdown returned while a request was in flight")
 		}
 		if err := b.server.Shutdown(t.Context()); err != nil {
@@ -111,8 +111,8 @@
 	})
 }
 
-// Symptom: an instance that was killed on the bench still answers. Cause: a
-// kill that waits for requests.
+// Guards against an instance that still answers after package bench has killed
+// it, because Kill waits for requests.
 func TestKillCutsConnections(t *testing.T) {
 	bothProtocols(t, func(t *testing.T, http2 bool) {
 		release := make(chan struct{})
@@ -142,8 +142,8 @@
 	})
 }
 
-// Symptom: a truncated answer passes for whole. Events: a handler panics after
-// it has written a part. Cause: the server ends the answer as if it were done.
+// Guards against a truncated response that looks complete: a handler panics
+// after it has written a part, and the server ends the response normally.
 func TestPanicMidwayCutsTheAnswer(t *testing.T) {
 	bothProtocols(t, func(t *testing.T, http2 bool) {
 		b := newBench(t, route(func(w http.ResponseWriter, _ *http.Request) {
@@ -153,14 +153,14 @@
 		}), http2)
 		defer b.close()
 		if status, body := b.get("/x"); status != 0 {
-			t.Fatalf("the cut answer was read as whole: %d %q", status, body)
+			t.Fatalf("the truncated response was read as complete: %d %q", status, body)
 		}
 	})
 }
 
-// Symptom: connections of refused callers pile up for good. Events: a caller
-// with an unknown token announces a body and never sends it. Cause: net/http
-// reads the rest of the body before it sends the handler's answer.
+// Guards against connections of refused callers that accumulate for ever: a
+// caller with an unknown token announces a body and never sends it, and net/http
+// reads the rest of the body before it sends the handler's response.
 func TestAnswerToAnUnreadBodyIsNotHeldUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		opts := route(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusUnauthorized) })
@@ -183,7 +183,7 @@
 	})
 }
 
-// Symptom: connections that never finish their header pile up.
+// Guards against connections that never complete their header and accumulate.
 func TestAnUnfinishedHeaderIsCut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBench(t, route(func(http.ResponseWriter, *http.Request) {}), false)
@@ -201,9 +201,10 @@
 	})
 }
 
-// Symptom: a long request ends with "the caller went away" though the caller
-// waits. Events: the request runs for longer than its body may take to arrive.
-// Cause: a read deadline that stays in place is taken for a closed connection.
+// Guards against a long request that is cancelled as if its caller had
+// disconnected, although the caller waits: the request runs for longer than its
+// body may take to arrive, and a read deadline that is not cleared looks like a
+// closed connection.
 func TestARequestMayOutliveItsBodyTimeout(t *testing.T) {
 	bothProtocols(t, func(t *testing.T, http2 bool) {
 		opts := route(func(w http.ResponseWriter, r *http.Request) {
@@ -221,7 +222,7 @@
 		opts.BodyTimeout = time.Second
 		b := newBench(t, opts, http2)
 		defer b.close()
-		for range 2 { // the second over the kept connection
+		for range 2 { // the second one over the same connection
 			resp, err := b.client.Post("http://instance/x", "", strings.NewReader("body"))
 			if err != nil {
 				t.Fatal(err)
@@ -249,7 +250,7 @@
 	}
 }
 
-func TestListenerAddressIsTold(t *testing.T) {
+func TestAddrIsTheListenersAddress(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/httpserver/recover.go
+++ b/internal/httpserver/recover.go
@@ -9,11 +9,11 @@
 	"lynxhill.example/lynxhill/internal/event"
 )
 
-// recoverer answers a panic of a handler with an Internal error. Without it
-// net/http closes the connection, which a caller can't tell from a fault of
-// the network, and prints the stack to the process's standard error, past the
-// log. The stack goes to the log only.
-func recoverer(logger *event.Logger) Middleware {
+// recoverPanics answers a panic of a handler with an Internal error. Without it
+// net/http would close the connection, which a caller cannot distinguish from a
+// network fault, and would print the stack to the process's standard error
+// instead of the log. The stack is written to the log only.
+func recoverPanics(logger *event.Logger) Middleware {
 	return func(next http.Handler) http.Handler {
 		return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			tracked := &trackedWriter{ResponseWriter: w}
@@ -23,12 +23,12 @@
 					return
 				}
 				if cause == http.ErrAbortHandler {
-					panic(cause) // asks for the connection to be cut
+					panic(cause) // the handler wants the connection aborted
 				}
 				logger.Log(event.HandlerPanicked, "path", r.URL.Path, "cause", fmt.Sprint(cause), "stack", string(debug.Stack()))
 				if tracked.begun {
-					// The status is out: cutting the connection is the only
-					// way left to keep the answer from passing for whole.
+					// The status has been sent: aborting the connection is the only
+					// remaining way to show that the response is incomplete.
 					panic(http.ErrAbortHandler)
 				}
 				WriteError(w, errkind.New(errkind.Internal, "panic"), "")
@@ -38,7 +38,7 @@
 	}
 }
 
-// trackedWriter remembers whether the answer has begun.
+// trackedWriter records whether the response has begun.
 type trackedWriter struct {
 	http.ResponseWriter
 	begun bool
@@ -54,5 +54,5 @@
 	return t.ResponseWriter.Write(p)
 }
 
-// Unwrap lets http.ResponseController reach the connection.
+// Unwrap gives http.ResponseController access to the underlying writer.
 func (t *trackedWriter) Unwrap() http.ResponseWriter { return t.ResponseWriter }
--- a/internal/httpserver/router.go
+++ b/internal/httpserver/router.go
@@ -24,11 +24,11 @@
 	Handler http.HandlerFunc
 }
 
-// RouterOptions of NewRouter.
+// RouterOptions configure NewRouter.
 type RouterOptions struct {
 	Routes     []Route
 	Middleware []Middleware // the first is outermost
-	// BodyTimeout is how long a client may take for its whole body; 0 =
+	// BodyTimeout is how long a client may take to send its whole body; 0 =
 	// DefaultBodyTimeout.
 	BodyTimeout time.Duration
 	Logger      *event.Logger
@@ -36,16 +36,17 @@
 
 // NewRouter returns go-zero's router with its chain of middlewares.
 //
-// The parts are taken from go-zero's rest one by one. rest.NewServer, also
-// behind rest.NewServerless, would add for each server to lists of the whole
-// process (shutdown listeners, agents, log writers), which stay when the
-// server is gone, and several instances in one process, as on the bench, would
-// share them. Its middlewares stay out for what they do: see hazards_test.go.
+// It uses individual parts of go-zero's rest package. rest.NewServer, which
+// rest.NewServerless calls as well, would add entries for each server to
+// process-wide lists (shutdown listeners, agents, log writers). These entries
+// would outlive the server, and several instances in one process, as in package
+// bench, would share them. go-zero's own middlewares are not used because of the
+// faults that hazards_test.go shows.
 func NewRouter(opts RouterOptions) (http.Handler, error) {
 	r := router.NewRouter()
 	r.SetNotFoundHandler(http.HandlerFunc(notFound))
-	r.SetNotAllowedHandler(http.HandlerFunc(notAllowed))
-	middlewares := chain.New(recoverer(opts.Logger), bodyDeadline(opts.BodyTimeout))
+	r.SetNotAllowedHandler(http.HandlerFunc(methodNotAllowed))
+	middlewares := chain.New(recoverPanics(opts.Logger), bodyDeadline(opts.BodyTimeout))
 	for _, m := range opts.Middleware {
 		middlewares = middlewares.Append(m)
 	}
@@ -57,9 +58,9 @@
 	return middlewares.Then(matchEscaped(r)), nil
 }
 
-// matchEscaped lets the router match the path as it was sent. It would
-// otherwise split a variable that holds a slash, such as the idempotency key
-// a/b sent as a%2Fb, and the caller would be told that there is no such path.
+// matchEscaped makes the router match the path as it was sent. It would
+// otherwise split a variable that contains a slash, such as the idempotency key
+// a/b sent as a%2Fb, and the caller would get a not_found error for the path.
 func matchEscaped(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		escaped := *r.URL
@@ -71,8 +72,8 @@
 	})
 }
 
-// PathVar returns the variable of the route's path, such as "profile" of
-// /v1/profiles/:profile/requests, decoded.
+// PathVar returns the decoded value of a variable of the route's path, such as
+// "profile" of /v1/profiles/:profile/requests.
 func PathVar(r *http.Request, name string) string {
 	raw := pathvar.Vars(r)[name]
 	value, err := url.PathUnescape(raw)
@@ -86,6 +87,6 @@
 	WriteError(w, errkind.New(errkind.NotFound, "there is no such path"), "")
 }
 
-func notAllowed(w http.ResponseWriter, _ *http.Request) {
+func methodNotAllowed(w http.ResponseWriter, _ *http.Request) {
 	WriteError(w, errkind.New(errkind.NotFound, "the path does not know this method"), "")
 }
--- a/internal/httpserver/server.go
+++ b/internal/httpserver/server.go
@@ -1,6 +1,6 @@
 // Package httpserver serves HTTP/1.1 and HTTP/2, with TLS or in clear text,
-// for the caller and admin listeners: go-zero's rest as router inside a
-// net/http server of our own, which stops gracefully and never on its own.
+// for the caller and admin listeners. It runs the router of go-zero's rest
+// package in its own net/http server, which stops gracefully and only on request.
 package httpserver
 
 import (
@@ -20,9 +20,9 @@
 	defaultReadHeaderTimeout = 5 * time.Second
 	defaultIdleTimeout       = 2 * time.Minute
 	defaultMaxHeaderBytes    = 64 << 10
-	// pingAfter and pingTimeout find HTTP/2 connections that went silent:
-	// something between the two ends has lost track of them, and without
-	// pings their requests would hold memory until their deadline.
+	// pingAfter and pingTimeout detect dead HTTP/2 connections, such as those
+	// whose state was lost by an intermediary between the two ends. Without
+	// pings their requests would occupy memory until their deadline.
 	pingAfter   = 10 * time.Second
 	pingTimeout = 5 * time.Second
 )
@@ -30,13 +30,13 @@
 // Options of a Server.
 type Options struct {
 	Name     string       // of the listener, for the log
-	Listener net.Listener // taken over: closed by Shutdown or Kill
+	Listener net.Listener // owned by the server: closed by Shutdown or Kill
 	Handler  http.Handler
 	TLS      *tls.Config // nil = clear text
-	// ReadHeaderTimeout bounds how long a client may take for its header;
-	// handlers bound the body themselves with SetReadDeadline. 0 = 5 s.
+	// ReadHeaderTimeout limits how long a client may take to send its header;
+	// handlers limit the body themselves with SetReadDeadline. 0 = 5 s.
 	ReadHeaderTimeout time.Duration
-	IdleTimeout       time.Duration // of a kept connection; 0 = 2 min
+	IdleTimeout       time.Duration // of a keep-alive connection; 0 = 2 min
 	MaxHeaderBytes    int           // 0 = 64 KiB
 	Logger            *event.Logger
 }
@@ -74,11 +74,11 @@
 	}}
 }
 
-// Addr returns the address listened on.
+// Addr returns the address of the listener.
 func (s *Server) Addr() net.Addr { return s.opts.Listener.Addr() }
 
-// Serve accepts connections until Shutdown or Kill, then returns nil; any
-// other end is an error.
+// Serve accepts connections until Shutdown or Kill, then returns nil. If it
+// ends for any other reason, it returns an error.
 func (s *Server) Serve() error {
 	s.opts.Logger.Log(event.ServerListening, "listener", s.opts.Name, "address", s.Addr().String(), "tls", s.opts.TLS != nil)
 	err := s.serve()
@@ -96,8 +96,8 @@
 	return s.server.ServeTLS(s.opts.Listener, "", "")
 }
 
-// Run serves until ctx ends, then stops gracefully without a limit of time.
-// Use Serve, Shutdown and Kill where one is needed.
+// Run serves until ctx ends, then stops gracefully without a time limit. Use
+// Serve, Shutdown and Kill where a limit is needed.
 func (s *Server) Run(ctx context.Context) {
 	served := make(chan struct{})
 	go func() {
@@ -112,19 +112,19 @@
 	<-served
 }
 
-// Shutdown accepts no more connections, tells clients to close kept ones, and
-// returns when the last request has been answered, or with ctx's error while
-// requests are still in flight. It cuts nothing.
+// Shutdown stops accepting connections and tells clients to close keep-alive
+// connections. It returns nil when the last request has been answered, or ctx's
+// error if requests are still in flight when ctx ends. It aborts no request.
 func (s *Server) Shutdown(ctx context.Context) error {
 	s.server.SetKeepAlivesEnabled(false)
 	return s.server.Shutdown(ctx)
 }
 
-// Kill closes the listener and every connection at once, as the death of the
+// Kill closes the listener and every connection at once, as a crash of the
 // process would.
 func (s *Server) Kill() { _ = s.server.Close() }
 
-// errorLog writes what net/http reports as events.
+// errorLog logs the messages of the net/http server as events.
 type errorLog struct{ opts Options }
 
 func (e errorLog) Write(p []byte) (int, error) {
--- a/internal/httpserver/tls_test.go
+++ b/internal/httpserver/tls_test.go
@@ -9,9 +9,8 @@
 	"testing"
 )
 
-// TestTLSListenerSpeaksBothProtocols takes the certificate from httptest, and
-// the configuration in the form that package tlsconf makes, without a fixed
-// certificate.
+// TestTLSListenerSpeaksBothProtocols uses the certificate of httptest and a
+// configuration like that of package tlsconf, which has no fixed certificate.
 func TestTLSListenerSpeaksBothProtocols(t *testing.T) {
 	source := httptest.NewUnstartedServer(nil)
 	source.StartTLS()
