--- a/internal/wire/lynxapi/admin.go
+++ b/internal/wire/lynxapi/admin.go
@@ -23,16 +23,16 @@
 	PathBurnLocal       = "/v1/report/burn/local"       // GET: BurnReport of this instance alone
 	PathMetrics         = "/debug/vars"
 
-	// ParamWindow is the query parameter of the reports for the time that they
-	// cover, such as "10m"; left out, the longest that is kept.
+	// ParamWindow is the query parameter for the time that a report covers, such
+	// as "10m"; without it, the report covers the longest time that is kept.
 	ParamWindow = "window"
 )
 
 // Profile states of a change.
 const (
-	ChangeAccepted = "accepted" // written, and in force wherever requests are taken
-	ChangeWritten  = "written"  // written, some instances are not confirmed yet
-	ChangeUnknown  = "unknown"  // the platform did not confirm; ask again by id
+	ChangeAccepted = "accepted" // written, and in force wherever requests are accepted
+	ChangeWritten  = "written"  // written, but some instances have not confirmed it yet
+	ChangeUnknown  = "unknown"  // the platform did not confirm it; query it again by its ID
 	ChangeRejected = "rejected"
 	ChangeDryRun   = "dry_run"
 )
@@ -56,7 +56,7 @@
 	WaitMS    int64  `json:"wait_ms"`
 }
 
-// ChangeReply says what became of a change.
+// ChangeReply is the state of a change.
 type ChangeReply struct {
 	ChangeID string             `json:"change_id"`
 	State    string             `json:"state"`
@@ -66,14 +66,14 @@
 	Force    ForceReply         `json:"force"`
 }
 
-// ForceReply tells where a version is in force.
+// ForceReply states on how many instances a version is in force.
 type ForceReply struct {
 	Name    string   `json:"name"`
 	Version uint64   `json:"version"`
 	Total   int      `json:"total"`    // instances that may serve
 	InForce int      `json:"in_force"` // of them, those that have the version or a later one
 	Missing []string `json:"missing,omitempty"`
-	Fenced  []string `json:"fenced,omitempty"` // silent long enough that they take no work
+	Fenced  []string `json:"fenced,omitempty"` // unreachable for so long that they accept no work
 }
 
 // ProfileView is a profile in force.
@@ -92,7 +92,7 @@
 	Profiles []ProfileView `json:"profiles"`
 }
 
-// InstanceView is an instance as the answering one sees it.
+// InstanceView is an instance as the answering instance sees it.
 type InstanceView struct {
 	ID          string  `json:"id"`
 	Incarnation uint64  `json:"incarnation"`
@@ -132,7 +132,7 @@
 	Targets []TargetView `json:"targets"`
 }
 
-// Status sums up an instance and what it sees.
+// Status is a summary of an instance and of what it sees of the system.
 type Status struct {
 	Instance    string       `json:"instance"`
 	Place       string       `json:"place"`
@@ -152,18 +152,18 @@
 	OrderGivers []OrderGiver `json:"order_givers,omitempty"`
 }
 
-// OrderGiver is who gives orders to the engines of a service.
+// OrderGiver is the instance that gives orders to the engines of a service.
 type OrderGiver struct {
 	Service string `json:"service"`
 	Holder  string `json:"holder"`
 	Fence   uint64 `json:"fence"`
 }
 
-// DrainRequest orders that a subject take no new work.
+// DrainRequest orders a drain: the subject gets no new work.
 type DrainRequest struct {
 	Subject string `json:"subject"` // instance/ID, place/NAME, target/ID or targets-in/PLACE
-	// Force drains a subject that the answering instance does not know, which
-	// is refused as not_found otherwise.
+	// Force drains a subject even if the answering instance does not know it;
+	// otherwise such a request is refused as not_found.
 	Force bool `json:"force,omitempty"`
 }
 
@@ -179,7 +179,7 @@
 	Drains []DrainView `json:"drains"`
 }
 
-// OrganisationLimit is the limit of an organisation over all instances.
+// OrganisationLimit is the limit of an organisation across all instances.
 type OrganisationLimit struct {
 	Organisation  string  `json:"organisation"`
 	RatePerSecond float64 `json:"rate_per_second"`
@@ -192,7 +192,7 @@
 	Limits []OrganisationLimit `json:"limits"`
 }
 
-// ModelPlan says what the engines of a service should hold.
+// ModelPlan states which models the engines of a service should hold.
 type ModelPlan struct {
 	Service   string      `json:"service"`
 	Models    []ModelWant `json:"models"`
@@ -200,7 +200,7 @@
 	IfVersion uint64      `json:"if_version"`
 }
 
-// RoleWant is a number of engines that should have a role.
+// RoleWant states how many engines should have a role.
 type RoleWant struct {
 	Role    string `json:"role"`
 	Engines int    `json:"engines"`
@@ -211,19 +211,19 @@
 	Model    string   `json:"model"`
 	Version  string   `json:"version"`
 	Adapters []string `json:"adapters,omitempty"`
-	Min      int      `json:"min"` // targets that hold it at least
-	Max      int      `json:"max"` // 0 = as many as demand wants
+	Min      int      `json:"min"` // minimum number of targets that hold it
+	Max      int      `json:"max"` // 0 = as many as demand requires
 }
 
-// PlacementList is what the engines should hold and hold.
+// PlacementList is the list of model plans.
 type PlacementList struct {
 	Plans []ModelPlan `json:"plans"`
 }
 
-// BurnReport is the service-level report.
+// BurnReport is the service-level report on error budgets and costs.
 type BurnReport struct {
 	Instance  string       `json:"instance"`
-	Instances int          `json:"instances"` // merged into it
+	Instances int          `json:"instances"` // number of instances merged into the report
 	Missing   []string     `json:"missing,omitempty"`
 	At        time.Time    `json:"at"`
 	WindowS   float64      `json:"window_s"`
@@ -235,7 +235,8 @@
 	Series    []BurnSeries `json:"series"`
 }
 
-// BurnRow is the attainment of one profile, organisation or place.
+// BurnRow is the attainment of one profile, organisation or availability zone
+// (whose scope is "place").
 type BurnRow struct {
 	Scope      string  `json:"scope"` // profile, organisation or place
 	Name       string  `json:"name"`
@@ -251,12 +252,11 @@
 	P95MS      float64 `json:"p95_ms"`
 	P99MS      float64 `json:"p99_ms"`
 	FirstP95MS float64 `json:"first_p95_ms"`
-	// Excluded counts requests that failed by the caller's own doing, such as
-	// a malformed body; they are in no other figure.
+	// Excluded counts requests that failed because of the caller, such as with a
+	// malformed body; no other figure includes them.
 	Excluded uint64 `json:"excluded,omitempty"`
-	// Allowed is how many misses the objective allows for Total; with the
-	// counts of the two burn windows it makes rows of several instances
-	// addable.
+	// Allowed is how many misses the objective allows for Total. With it and the
+	// counts of the two burn windows, rows of several instances can be added.
 	Allowed float64    `json:"allowed"`
 	Short   BurnWindow `json:"short"`
 	Long    BurnWindow `json:"long"`
@@ -266,14 +266,14 @@
 	FirstSketch   []byte `json:"first_sketch,omitempty"`
 }
 
-// BurnWindow is the counts of one burn window.
+// BurnWindow holds the counts of one burn window.
 type BurnWindow struct {
 	Total   uint64  `json:"total"`
 	Missed  uint64  `json:"missed"`
 	Allowed float64 `json:"allowed"`
 }
 
-// BurnCause is what spent the budget.
+// BurnCause is a cause of misses that consumed error budget, with their number.
 type BurnCause struct {
 	Profile   string `json:"profile"`
 	Stage     string `json:"stage"`
@@ -294,7 +294,7 @@
 	MeanMS   float64 `json:"mean_ms"`
 }
 
-// BurnSeries is attainment over time, a point a minute or less.
+// BurnSeries is attainment over time, in steps of a minute or less.
 type BurnSeries struct {
 	Profile string      `json:"profile"`
 	StepS   float64     `json:"step_s"` // length of one point
--- a/internal/wire/lynxapi/caller.go
+++ b/internal/wire/lynxapi/caller.go
@@ -14,8 +14,8 @@
 	PathAlive    = "/livez"
 )
 
-// Names of the server-sent events of a streamed answer. An answer that does
-// not close with EventEnd or EventError was cut.
+// Names of the server-sent events of a streamed response. A response that does
+// not end with EventEnd or EventError is truncated.
 const (
 	EventAccepted  = "accepted"
 	EventFrame     = "frame"
@@ -27,13 +27,13 @@
 // AddressAnswer tells a caller which instances to use.
 type AddressAnswer struct {
 	Addresses []Address `json:"addresses"` // pick by weight; on failure try the next
-	KeepMS    int64     `json:"keep_ms"`   // ask again after this
-	// Ticket binds the keys sent with it to the instance TicketHome.
+	KeepMS    int64     `json:"keep_ms"`   // how long to cache the answer, in milliseconds
+	// Ticket binds the idempotency keys sent with it to the instance TicketHome.
 	Ticket          string `json:"ticket,omitempty"`
 	TicketHome      string `json:"ticket_home,omitempty"`
 	TicketExpiresMS int64  `json:"ticket_expires_ms,omitempty"` // Unix milliseconds
-	// TicketAdvised says that keys had best be minted under the ticket now,
-	// since the store in which others are recorded is down.
+	// TicketAdvised advises the caller to create new keys under the ticket, since
+	// the store that records other keys is down.
 	TicketAdvised bool `json:"ticket_advised,omitempty"`
 }
 
@@ -65,13 +65,13 @@
 	Instance  string `json:"instance"`
 }
 
-// Frame is a piece of a streamed answer; offsets are contiguous from 0.
+// Frame is a piece of a streamed response; offsets are contiguous from 0.
 type Frame struct {
 	Offset int    `json:"offset"`
 	Text   string `json:"text"`
 }
 
-// SendReply is the whole answer, and the last event of a stream.
+// SendReply is the complete response, and the last event of a stream.
 type SendReply struct {
 	RequestID      string          `json:"request_id"`
 	Key            string          `json:"key"`
@@ -88,7 +88,7 @@
 	Stages         []StageCost     `json:"stages"`
 }
 
-// StageCost is what one stage took.
+// StageCost is the cost and duration of one stage.
 type StageCost struct {
 	Stage      string  `json:"stage"`
 	Kind       string  `json:"kind"`
@@ -113,7 +113,7 @@
 	OutcomeNoRecord = "no_record"
 )
 
-// OutcomeReply answers the question what became of a key.
+// OutcomeReply is the outcome of the request with a key.
 type OutcomeReply struct {
 	Key       string          `json:"key"`
 	State     string          `json:"state"`
--- a/internal/wire/platformapi/platformapi.go
+++ b/internal/wire/platformapi/platformapi.go
@@ -1,6 +1,6 @@
 // Package platformapi holds the JSON messages of the platform's object API
-// and instance list. docs/STANDINS.md describes the calls; lynxhill does not
-// own this protocol, it only speaks it.
+// and instance list. docs/STANDINS.md describes the calls. The protocol is
+// defined by the platform; lynxhill only implements it.
 package platformapi
 
 // Paths of the platform's calls.
@@ -28,12 +28,12 @@
 }
 
 // ObjectList is the answer to a list or a watch. Version is the store's
-// version at which it was taken: the place to watch on from.
+// version at which it was taken: the next watch continues from there.
 type ObjectList struct {
 	Version uint64   `json:"version"`
 	Objects []Object `json:"objects"`
-	// Compacted says that the watch asked from a version too far back; the
-	// caller lists again.
+	// Compacted reports that the watch started from a version whose history has
+	// been compacted; the caller must list again.
 	Compacted bool `json:"compacted,omitempty"`
 }
 
@@ -55,10 +55,10 @@
 	Region   string `json:"region"`
 	Provider string `json:"provider,omitempty"`
 	State    string `json:"state"`
-	// ChecksFence says that the engine refuses orders with an old fencing
+	// ChecksFence reports that the engine refuses orders with an old fencing
 	// number.
 	ChecksFence bool `json:"checks_fence"`
-	// Capacity is an instance's processor time in cores; 0 = not told. lynxhill
+	// Capacity is an instance's processor time in cores; 0 = unknown. lynxhill
 	// only.
 	Capacity float64 `json:"capacity,omitempty"`
 }
@@ -78,8 +78,8 @@
 	CodeTooLarge    = "too_large"
 )
 
-// Error is the body of every answer that is not 2xx. Current is the object as
-// it stands, for a conflict.
+// Error is the body of every response whose status is not 2xx. For a conflict,
+// Current is the current object.
 type Error struct {
 	Code    string  `json:"code"`
 	Message string  `json:"message"`
--- a/internal/wire/targetapi/targetapi.go
+++ b/internal/wire/targetapi/targetapi.go
@@ -1,7 +1,7 @@
 // Package targetapi holds the JSON messages that targets (model engines,
 // encoders, retrievers, rerankers and plain services) accept and return over
-// HTTP. docs/STANDINS.md describes the calls; lynxhill does not own this
-// protocol, it only speaks it.
+// HTTP. docs/STANDINS.md describes the calls. The protocol is defined by the
+// targets; lynxhill only implements it.
 package targetapi
 
 import "encoding/json"
@@ -62,8 +62,8 @@
 	Load      *LoadReport     `json:"load,omitempty"`
 }
 
-// Frame is a piece of a streamed answer. Offset is the position, in bytes of
-// the whole answer, of the first byte of Text.
+// Frame is a piece of a streamed response. Offset is the position, in bytes of
+// the whole response, of the first byte of Text.
 type Frame struct {
 	RequestID string `json:"request_id"`
 	AttemptID string `json:"attempt_id"`
@@ -72,8 +72,8 @@
 	Tokens    int    `json:"tokens"`
 }
 
-// End closes a streamed answer. Length is the length of the whole answer in
-// bytes, so that a truncated answer cannot pass for whole.
+// End is the last event of a streamed response. Length is the length of the
+// whole response in bytes, so that a truncated response can be detected.
 type End struct {
 	RequestID string      `json:"request_id"`
 	AttemptID string      `json:"attempt_id"`
@@ -94,7 +94,7 @@
 	CodeFailed    = "failed"
 )
 
-// Refusal is the body of every answer that is not 2xx, and of an error event.
+// Refusal is the body of every response whose status is not 2xx, and of an error event.
 // Ran is false only if the target has run nothing of the call.
 type Refusal struct {
 	RequestID string `json:"request_id,omitempty"`
@@ -109,8 +109,8 @@
 	AttemptID string `json:"attempt_id"`
 }
 
-// LoadReport is a target's own account of its load. It may lag: AtMS is when
-// it was true, in milliseconds since the Unix epoch.
+// LoadReport is a target's own report of its load. It may be stale: AtMS is the
+// time that it describes, in milliseconds since the Unix epoch.
 type LoadReport struct {
 	Target    string        `json:"target"`
 	Seq       uint64        `json:"seq"`
@@ -144,7 +144,7 @@
 )
 
 // Order tells an engine to change its models, adapters or role. It names the
-// state wanted, so that giving it twice does no harm.
+// desired state, so that an order is idempotent.
 type Order struct {
 	Fence   uint64 `json:"fence"`
 	Giver   string `json:"giver"`
@@ -155,8 +155,8 @@
 	Role    string `json:"role,omitempty"`
 }
 
-// CacheEvent says that a prefix entered or left an engine's prefix cache.
-// Seq rises by one an event; a gap means that events were lost.
+// CacheEvent reports that a prefix entered or left an engine's prefix cache.
+// Seq increases by one per event; a gap means that events were lost.
 type CacheEvent struct {
 	Seq     uint64 `json:"seq"`
 	Prefix  string `json:"prefix"` // hash of the prefix, hexadecimal
@@ -170,8 +170,8 @@
 	Data   []byte `json:"data"`
 }
 
-// RunRecord is what a stand-in has noted of one run, so that an experiment can
-// count runs that were doubled.
+// RunRecord is a stand-in's record of one run, so that an experiment can count
+// duplicate runs.
 type RunRecord struct {
 	RequestID    string `json:"request_id"`
 	AttemptID    string `json:"attempt_id"`
