--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,7 +1,7 @@
-// Package invariant asserts inside the program what must always hold. In
-// tests and on the bench a broken invariant panics or is collected; in
-// production it is counted and logged, and the caller gets an error instead of
-// a wrong answer.
+// Package invariant checks at run time conditions that must always hold. In
+// tests and in internal/bench a violation panics or is collected; in production
+// it is counted and logged, and Check returns false so that its caller can return an
+// error instead of a wrong answer.
 package invariant
 
 import (
@@ -9,36 +9,38 @@
 	"sync"
 )
 
-// Rule is an invariant by name.
+// Rule is the name of an invariant.
 type Rule string
 
-// The rules.
+// The invariants that the system checks.
 const (
 	OneDelivery         Rule = "one_delivery"          // a request is delivered once
-	OffsetsContiguous   Rule = "offsets_contiguous"    // frames reach the caller without gap or repeat
+	OffsetsContiguous   Rule = "offsets_contiguous"    // frames reach the caller without gaps or duplicates
 	ClaimBeforeDispatch Rule = "claim_before_dispatch" // a stage that is not idempotent is dispatched under a claim
-	RunStateTrue        Rule = "run_state_true"        // not_run is said only if nothing was dispatched
-	NoLeavingDispatch   Rule = "no_leaving_dispatch"   // a leaving target gets no work after the grace
+	RunStateTrue        Rule = "run_state_true"        // the state not_run is reported only if nothing was dispatched
+	NoLeavingDispatch   Rule = "no_leaving_dispatch"   // a leaving target gets no work after the grace period
 	VersionsRise        Rule = "versions_rise"         // a profile never goes back to a lower version
-	OneOrderGiver       Rule = "one_order_giver"       // orders are given only inside one's lease
-	LastReadyKept       Rule = "last_ready_kept"       // a model's last ready target is not taken away
-	OwnAnswer           Rule = "own_answer"            // an answer carries the ids of its request and attempt
+	OneOrderGiver       Rule = "one_order_giver"       // an instance gives orders only while it holds its lease
+	LastReadyKept       Rule = "last_ready_kept"       // the last ready target of a model is not removed
+	OwnAnswer           Rule = "own_answer"            // an answer carries the IDs of its request and attempt
 )
 
-// Recorder is told of each violation.
+// Recorder receives each violation.
 type Recorder interface {
+	// Violated records one violation of rule.
 	Violated(rule Rule, detail string)
 }
 
-// Checker asserts rules. A nil Checker asserts nothing.
+// Checker checks invariants. A nil Checker records nothing.
 type Checker struct {
 	recorder Recorder
 }
 
-// New returns a checker that tells recorder.
+// New returns a checker that reports violations to recorder.
 func New(recorder Recorder) *Checker { return &Checker{recorder: recorder} }
 
-// Check tells the recorder if ok is false, and returns ok.
+// Check returns ok. If ok is false, it reports a violation of rule, with the
+// formatted detail, to the recorder.
 func (c *Checker) Check(ok bool, rule Rule, format string, args ...any) bool {
 	if ok || c == nil {
 		return ok
@@ -47,13 +49,13 @@
 	return false
 }
 
-// Collector is a Recorder for tests and the bench: it keeps violations.
+// Collector is a Recorder for tests and internal/bench that keeps all violations.
 type Collector struct {
 	mu         sync.Mutex // guards violations
 	violations []Violation
 }
 
-// Violation is one broken invariant.
+// Violation is one recorded violation of an invariant.
 type Violation struct {
 	Rule   Rule
 	Detail string
@@ -66,7 +68,7 @@
 	c.violations = append(c.violations, Violation{Rule: rule, Detail: detail})
 }
 
-// Violations returns what was collected.
+// Violations returns a copy of the collected violations.
 func (c *Collector) Violations() []Violation {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/invariant/production_test.go
+++ b/internal/invariant/production_test.go
@@ -23,13 +23,13 @@
 			check.Check(false, OwnAnswer, "detail")
 		}
 		check.Check(false, RunStateTrue, "other rule")
-		time.Sleep(logEvery)
+		time.Sleep(logInterval)
 		check.Check(false, OwnAnswer, "detail")
 		if got := strings.Count(out.String(), "\n"); got != 3 {
 			t.Errorf("%d lines logged, expected 3:\n%s", got, out.String())
 		}
 		if !strings.Contains(out.String(), "skipped=99") {
-			t.Errorf("skipped events are not told: %s", out.String())
+			t.Errorf("number of skipped events is not logged: %s", out.String())
 		}
 		if got := registry.Value(metricViolations); !strings.Contains(got, `"own_answer": 101`) {
 			t.Errorf("counted %s", got)
