--- a/internal/admission/service.go
+++ b/internal/admission/service.go
@@ -212,7 +212,7 @@
 		}
 	}
 	if want.NoWait {
-		return nil, nil, s.overloaded("no target of %s has free capacity", s.name)
+		return nil, nil, s.overloaded("no target of %s has room", s.name)
 	}
 	w, err := s.enqueue(want, provider)
 	return nil, w, err
@@ -253,7 +253,7 @@
 		return nil
 	}
 	s.gate.counts.budgetRefusals.Add(1)
-	return s.overloaded("the retry budget of %s is exhausted", s.name)
+	return s.overloaded("the budget for repeats of %s is spent", s.name)
 }
 
 func (s *service) overloaded(format string, args ...any) error {
--- a/internal/control/drain/operator.go
+++ b/internal/control/drain/operator.go
@@ -56,7 +56,7 @@
 			return nil
 		}
 	}
-	return errkind.New(errkind.BadRequest, "invalid subject %q: want instance/ID, place/NAME, target/ID or targets-in/PLACE", subject)
+	return errkind.New(errkind.BadRequest, "%q is not instance/ID, place/NAME, target/ID or targets-in/PLACE", subject)
 }
 
 // retry runs change until it succeeds, at most writeRetries times. Changes set a
--- a/internal/control/orders/plans.go
+++ b/internal/control/orders/plans.go
@@ -73,7 +73,7 @@
 		c.opts.Board.AdoptObject(object.Key, board.ConfigObject{Version: object.Version, Value: value})
 		return object.Version, nil
 	case errors.Is(err, store.ErrConflict):
-		return object.Version, errkind.Wrap(err, errkind.Conflict, "the plan was changed concurrently; its current version is %d", object.Version)
+		return object.Version, errkind.Wrap(err, errkind.Conflict, "the plan was changed meanwhile; its version is %d", object.Version)
 	case errors.Is(err, store.ErrUnavailable), errors.Is(err, store.ErrThrottled):
 		return 0, errkind.Wrap(err, errkind.StoreUnavailable, "model plan")
 	default:
@@ -92,9 +92,9 @@
 		case w.Model == "" || w.Version == "":
 			return errkind.New(errkind.BadRequest, "a model of the plan lacks its name or version")
 		case seen[v]:
-			return errkind.New(errkind.BadRequest, "model %s %s is listed more than once", w.Model, w.Version)
+			return errkind.New(errkind.BadRequest, "model %s %s stands twice", w.Model, w.Version)
 		case w.Min < 0 || w.Max < 0 || w.Max > 0 && w.Min > w.Max:
-			return errkind.New(errkind.BadRequest, "model %s %s: min %d and max %d are not a valid range", w.Model, w.Version, w.Min, w.Max)
+			return errkind.New(errkind.BadRequest, "model %s %s: min %d and max %d do not fit", w.Model, w.Version, w.Min, w.Max)
 		}
 		seen[v] = true
 	}
--- a/internal/control/profilesync/confirm.go
+++ b/internal/control/profilesync/confirm.go
@@ -86,7 +86,7 @@
 
 func unresolvedError(c Change, mayBeWritten bool) error {
 	if mayBeWritten {
-		return errkind.New(errkind.ChangeUnknown, "the platform did not confirm change %s; look it up by its id", c.ChangeID)
+		return errkind.New(errkind.ChangeUnknown, "the platform did not confirm change %s; ask by its id", c.ChangeID)
 	}
 	return errkind.New(errkind.StoreUnavailable, "the platform did not take the change; nothing was written")
 }
--- a/internal/control/profilesync/force.go
+++ b/internal/control/profilesync/force.go
@@ -168,7 +168,7 @@
 		return reply, nil
 	}
 	return lynxapi.ChangeReply{ChangeID: changeID, State: lynxapi.ChangeUnknown},
-		errkind.New(errkind.NotFound, "no profile has change %s in its history", changeID)
+		errkind.New(errkind.NotFound, "no profile shows change %s", changeID)
 }
 
 func (m *Manager) lookupLocal(changeID string) (lynxapi.ChangeReply, bool) {
--- a/internal/daemon/handler.go
+++ b/internal/daemon/handler.go
@@ -28,7 +28,7 @@
 // direct callers only to those.
 func (d *Daemon) Address(_ context.Context, q callerapi.AddressQuestion) (lynxapi.AddressAnswer, error) {
 	if self, _ := d.board.Self.Get(board.SelfRow); !self.MayAdmit() {
-		return lynxapi.AddressAnswer{}, errkind.New(errkind.Isolated, "%s; try another instance", isolation(self))
+		return lynxapi.AddressAnswer{}, errkind.New(errkind.Isolated, "%s; ask another", isolation(self))
 	}
 	answer := d.steering.Answer(q.Place, q.Region)
 	ticket, expires := d.tickets.Issue()
--- a/internal/daemon/operations_drain.go
+++ b/internal/daemon/operations_drain.go
@@ -23,7 +23,7 @@
 // subject continues to receive work.
 func (o *operations) Drain(ctx context.Context, operator string, req lynxapi.DrainRequest) (lynxapi.DrainView, error) {
 	if !req.Force && !o.knows(req.Subject) {
-		return lynxapi.DrainView{}, errkind.New(errkind.NotFound, "%s is not known to this instance; use force to drain it anyway, in case it appears later", req.Subject)
+		return lynxapi.DrainView{}, errkind.New(errkind.NotFound, "%s is not known here; force drains it all the same, for when it appears", req.Subject)
 	}
 	if err := o.d.drains.Drain(ctx, req.Subject, operator); err != nil {
 		return lynxapi.DrainView{}, err
--- a/internal/exchange/acks.go
+++ b/internal/exchange/acks.go
@@ -12,7 +12,7 @@
 
 // ErrUnacknowledged is the reason of an exchange that failed because the target's
 // host acknowledged nothing for Request.AckTimeout.
-var ErrUnacknowledged = errors.New("the target's host acknowledges no data")
+var ErrUnacknowledged = errors.New("the target's machine acknowledges nothing")
 
 // ackMonitor monitors whether the host of a target acknowledges a request.
 //
--- a/internal/exchange/answer.go
+++ b/internal/exchange/answer.go
@@ -23,12 +23,12 @@
 )
 
 var (
-	errForeign     = errors.New("the response belongs to another attempt")
-	errUnframed    = errors.New("the response belongs to another attempt and its end can't be determined")
-	errSwitched    = errors.New("the target switched protocols")
-	errBadStatus   = errors.New("the response status is below 100")
-	errNothingSent = errors.New("the response was complete before any byte of the request was sent")
-	errBodyClosed  = errors.New("read after Close of the response body")
+	errForeign     = errors.New("the target answers another attempt")
+	errUnframed    = errors.New("the target answers another attempt and the end of that answer can't be told")
+	errSwitched    = errors.New("the target switched the protocol")
+	errBadStatus   = errors.New("the answer's status is below 100")
+	errNothingSent = errors.New("the answer was complete before a byte of the request was sent")
+	errBodyClosed  = errors.New("read after Close of the answer's body")
 )
 
 // exchange is one request on one connection, from its first byte to the end of
--- a/internal/exchange/conn.go
+++ b/internal/exchange/conn.go
@@ -25,7 +25,7 @@
 // (ETIMEDOUT, Sent=true).
 const userTimeout = 8 * time.Second
 
-var errHeadTooLong = errors.New("the response head is too long")
+var errHeadTooLong = errors.New("head of the answer is too long")
 
 // conn is a connection to a target, owned by one exchange or by Pool.idle.
 type conn struct {
--- a/internal/exchange/request.go
+++ b/internal/exchange/request.go
@@ -71,7 +71,7 @@
 		}
 		switch http.CanonicalHeaderKey(name) {
 		case "Host", "Transfer-Encoding":
-			return nil, fmt.Errorf("header %s can't be set by the caller", name)
+			return nil, fmt.Errorf("header %s isn't the caller's to set", name)
 		case "Content-Length":
 			if err := checkLength(values, len(r.Body)); err != nil {
 				return nil, err
@@ -86,7 +86,7 @@
 func checkLength(values []string, length int) error {
 	for _, value := range values {
 		if value != strconv.Itoa(length) {
-			return errors.New("header Content-Length differs from the length of the body")
+			return errors.New("header Content-Length isn't the length of the body")
 		}
 	}
 	return nil
--- a/internal/forwarding/plain.go
+++ b/internal/forwarding/plain.go
@@ -32,9 +32,9 @@
 
 var (
 	errNoTarget  = errors.New("no target takes work")
-	errUnsigned  = errors.New("the response does not carry the target's signature")
-	errTruncated = errors.New("the response is truncated")
-	errFaulty    = errors.New("the target answered with an error")
+	errUnsigned  = errors.New("the answer is not the target's own")
+	errTruncated = errors.New("the answer broke off")
+	errFaulty    = errors.New("the target failed the request")
 )
 
 // servePlain forwards a request to a plain service.
--- a/internal/forwarding/stream.go
+++ b/internal/forwarding/stream.go
@@ -14,7 +14,7 @@
 )
 
 // errCallerLeft marks a failed write to the caller.
-var errCallerLeft = errors.New("write to the caller failed")
+var errCallerLeft = errors.New("the caller left")
 
 // streamBuffer is the size of the read buffer of a stream, in bytes.
 const streamBuffer = 16 << 10
@@ -127,7 +127,7 @@
 		case err != nil:
 			return err
 		case len(pending) > maxEvent:
-			return fmt.Errorf("event exceeds %d bytes", maxEvent)
+			return fmt.Errorf("an event of more than %d bytes", maxEvent)
 		}
 	}
 }
--- a/internal/pipeline/attempt.go
+++ b/internal/pipeline/attempt.go
@@ -176,10 +176,10 @@
 // request to a caller.
 func (a *attempt) onFrame(begun time.Time, frame targetapi.Frame) error {
 	if frame.RequestID != a.s.x.req.ID || frame.AttemptID != a.id {
-		return protocolError("received a frame of attempt %q", frame.AttemptID)
+		return protocolError("frame of attempt %q", frame.AttemptID)
 	}
 	if frame.Offset != a.offset {
-		return protocolError("received a frame at offset %d, expected %d", frame.Offset, a.offset)
+		return protocolError("frame at %d, expected %d", frame.Offset, a.offset)
 	}
 	a.noteArrival(begun, frame.Tokens)
 	a.offset += len(frame.Text)
--- a/internal/pipeline/budget.go
+++ b/internal/pipeline/budget.go
@@ -59,7 +59,7 @@
 		return nil
 	}
 	x.r.opts.Metrics.Counter(metricEarlyRefusals).Add(1)
-	err := errkind.New(errkind.DeadlineUnreachable, "the remaining stages need about %v, which is more than the time left", need.Round(time.Millisecond))
+	err := errkind.New(errkind.DeadlineUnreachable, "the stages need about %v", need.Round(time.Millisecond))
 	return errkind.WithRetryAfter(err, x.r.jitter(retryAfter))
 }
 
--- a/internal/pipeline/claimed.go
+++ b/internal/pipeline/claimed.go
@@ -25,7 +25,7 @@
 // that only one of the requests with the same key dispatches the stage.
 func (s *stageRun) runClaimed() (json.RawMessage, error) {
 	if s.x.r.opts.Claims == nil {
-		return nil, errkind.New(errkind.Internal, "no claim store is configured, but stage %s is not idempotent", s.stage.Name)
+		return nil, errkind.New(errkind.Internal, "no claims for stage %s", s.stage.Name)
 	}
 	for try := 1; ; try++ {
 		answer, err := s.requestClaim()
--- a/internal/pipeline/signals.go
+++ b/internal/pipeline/signals.go
@@ -160,7 +160,7 @@
 func (s *stageRun) onSuccess(a *attempt, result stagecall.Result) (output json.RawMessage, done bool, err error) {
 	a.cost = result.Cost
 	if s.streams && result.Length != len(s.text) {
-		err := s.onFailure(a, protocolError("end mark reports %d bytes, received %d", result.Length, len(s.text)))
+		err := s.onFailure(a, protocolError("end mark says %d bytes, %d came", result.Length, len(s.text)))
 		return nil, err != nil, err
 	}
 	s.makePrimary(a)
--- a/internal/target/run.go
+++ b/internal/target/run.go
@@ -57,7 +57,7 @@
 		return x.reply(resp, req)
 	}
 	if !strings.HasPrefix(resp.Header.Get("Content-Type"), eventStreamType) {
-		return stagecall.Result{}, x.protocol("reply to a streaming call has content type %q", resp.Header.Get("Content-Type"))
+		return stagecall.Result{}, x.protocol("reply to a stream is %q", resp.Header.Get("Content-Type"))
 	}
 	s := stream{call: x, req: req, opts: opts, onFrame: onFrame, offset: req.ResumeOffset}
 	return s.read(resp.Body)
@@ -122,7 +122,7 @@
 func (x *call) refusalOf(data []byte, req targetapi.RunRequest, where string, begun bool) error {
 	var body refusalBody
 	if err := json.Unmarshal(data, &body); err != nil || body.Code == "" {
-		return &stagecall.Failure{Class: stagecall.ClassFailed, Err: fmt.Errorf("%s without a valid refusal body", where)}
+		return &stagecall.Failure{Class: stagecall.ClassFailed, Err: fmt.Errorf("%s without a refusal", where)}
 	}
 	if isForeign(body.RequestID, req.RequestID) || isForeign(body.AttemptID, req.AttemptID) {
 		return x.foreignReply()
--- a/internal/target/stream.go
+++ b/internal/target/stream.go
@@ -58,7 +58,7 @@
 		return s.call.foreignReply()
 	}
 	if frame.Offset != s.offset {
-		return s.call.protocol("received a frame at offset %d, expected %d", frame.Offset, s.offset)
+		return s.call.protocol("frame at offset %d, expected %d", frame.Offset, s.offset)
 	}
 	s.offset += len(frame.Text)
 	s.begun = true
@@ -78,7 +78,7 @@
 		return stagecall.Result{}, s.call.foreignReply()
 	}
 	if end.Length != s.offset {
-		return stagecall.Result{}, s.call.protocol("end mark reports %d bytes, received %d", end.Length, s.offset)
+		return stagecall.Result{}, s.call.protocol("end mark says %d bytes, %d came", end.Length, s.offset)
 	}
 	return stagecall.Result{
 		Length:  end.Length,
