--- a/deploy/emulator/world.go
+++ b/deploy/emulator/world.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Place is where servers of a pool stand.
+// Place is a zone and the number of servers of a pool that stand there.
 type Place struct {
 	Zone  string
 	Count int
--- a/deploy/soak/faults.go
+++ b/deploy/soak/faults.go
@@ -37,14 +37,14 @@
 
 // hurter hurts the world by a seeded schedule.
 type hurter struct {
-	world   *emulator.World
-	places  []place
-	load    *load
-	probes  *probes
-	links   *links
-	random  *rand.Rand
-	working sync.WaitGroup  // until all faults have ended
-	leaving map[string]bool // servers by id
+	world     *emulator.World
+	instances []instanceSpec
+	load      *load
+	probes    *probes
+	links     *links
+	random    *rand.Rand
+	working   sync.WaitGroup  // until all faults have ended
+	leaving   map[string]bool // servers by id
 	// onlySever leaves out all faults but severConnections.
 	onlySever bool
 
@@ -84,7 +84,7 @@
 func (h *hurter) once(ctx context.Context) {
 	kind, length := kinds[h.random.IntN(len(kinds))], time.Duration(500+h.random.IntN(2000))*time.Millisecond
 	service := []string{"talk", "cut", "plain", "slow"}[h.random.IntN(4)]
-	draw, one := h.random.IntN(1<<20), h.random.IntN(2*len(h.places))
+	draw, one := h.random.IntN(1<<20), h.random.IntN(2*len(h.instances))
 	until, subject := func(end func()) { h.working.Go(func() { pause(ctx, length); end() }) }, ""
 	switch kind {
 	case "store-compact":
@@ -265,8 +265,8 @@
 		"store-slow":  {Slow: 300 * time.Millisecond},
 		"store-lossy": {LoseShare: 0.5, LoseLate: time.Duration(draw%2) * 300 * time.Millisecond},
 	}[kind]
-	if one < len(h.places) {
-		who = h.places[one].ID + ":"
+	if one < len(h.instances) {
+		who = h.instances[one].ID + ":"
 	}
 	endFault := h.probes.beginStoreFault(strings.TrimSuffix(who, ":"))
 	h.world.Store.SetFault(who, fault)
--- a/deploy/soak/links.go
+++ b/deploy/soak/links.go
@@ -14,7 +14,7 @@
 type links struct {
 	byInstance map[string]*link // to the instance, by its ID
 	toStore    map[string]*link // from the instance to the store, by its ID
-	places     []place
+	instances  []instanceSpec
 	random     *rand.Rand
 	severing   *rand.Rand // of sever
 }
@@ -37,16 +37,16 @@
 	conns        map[net.Conn]bool
 }
 
-// openLinks starts a link for each instance and sets the Link address in places.
-func openLinks(places []place, random *rand.Rand) (*links, error) {
-	ls := &links{byInstance: make(map[string]*link), toStore: make(map[string]*link), places: places, random: random}
-	for n := range places {
-		l, address, err := openLink(places[n].Peer, rand.New(rand.NewPCG(random.Uint64(), uint64(n))))
+// openLinks starts a link for each instance and sets the Link address in instances.
+func openLinks(instances []instanceSpec, random *rand.Rand) (*links, error) {
+	ls := &links{byInstance: make(map[string]*link), toStore: make(map[string]*link), instances: instances, random: random}
+	for n := range instances {
+		l, address, err := openLink(instances[n].Peer, rand.New(rand.NewPCG(random.Uint64(), uint64(n))))
 		if err != nil {
 			return nil, err
 		}
-		places[n].Link = address
-		ls.byInstance[places[n].ID] = l
+		instances[n].Link = address
+		ls.byInstance[instances[n].ID] = l
 	}
 	return ls, nil
 }
@@ -55,13 +55,13 @@
 // address in the place of the store's.
 func (ls *links) openStoreLinks(random *rand.Rand) error {
 	ls.severing = random
-	for n := range ls.places {
-		l, address, err := openLink(ls.places[n].Store, rand.New(rand.NewPCG(random.Uint64(), uint64(n))))
+	for n := range ls.instances {
+		l, address, err := openLink(ls.instances[n].Store, rand.New(rand.NewPCG(random.Uint64(), uint64(n))))
 		if err != nil {
 			return err
 		}
-		ls.places[n].Store = address
-		ls.toStore[ls.places[n].ID] = l
+		ls.instances[n].Store = address
+		ls.toStore[ls.instances[n].ID] = l
 	}
 	return nil
 }
@@ -212,7 +212,7 @@
 	ls := h.links
 	for pause(ctx, time.Duration(800+ls.random.IntN(2500))*time.Millisecond) {
 		kind, length := linkKinds[ls.random.IntN(len(linkKinds))], time.Duration(500+ls.random.IntN(4000))*time.Millisecond
-		id := ls.places[ls.random.IntN(len(ls.places))].ID
+		id := ls.instances[ls.random.IntN(len(ls.instances))].ID
 		single := []*link{ls.byInstance[id]}
 		switch kind {
 		case "link-cut":
@@ -253,9 +253,9 @@
 	for pause(ctx, severEvery+time.Duration(random.Int64N(int64(severLater)))) {
 		share := []float64{1, 1, 0.7, 0.5}[random.IntN(4)]
 		delay := []time.Duration{100, 300, 800, 1500, 3000}[random.IntN(5)] * time.Millisecond
-		for _, k := range random.Perm(len(h.places))[:max(int(share*float64(len(h.places))), 1)] {
-			h.links.byInstance[h.places[k].ID].blackhole()
-			h.links.toStore[h.places[k].ID].blackhole()
+		for _, k := range random.Perm(len(h.instances))[:max(int(share*float64(len(h.instances))), 1)] {
+			h.links.byInstance[h.instances[k].ID].blackhole()
+			h.links.toStore[h.instances[k].ID].blackhole()
 		}
 		h.note("sever", fmt.Sprintf("%v of the instances, changes after %v", share, delay))
 		for range 2 {
@@ -268,7 +268,7 @@
 }
 
 func (ls *links) all() (all []*link) {
-	for _, p := range ls.places {
+	for _, p := range ls.instances {
 		all = append(all, ls.byInstance[p.ID])
 	}
 	return all
--- a/deploy/soak/links_test.go
+++ b/deploy/soak/links_test.go
@@ -30,29 +30,29 @@
 // Guards against a way to the store that passes no link.
 func TestStoreLinks(t *testing.T) {
 	store := startEcho(t)
-	places := []place{{ID: "n1", Peer: startEcho(t), Store: store}}
-	ls, err := openLinks(places, rand.New(rand.NewPCG(1, 1)))
+	instances := []instanceSpec{{ID: "n1", Peer: startEcho(t), Store: store}}
+	ls, err := openLinks(instances, rand.New(rand.NewPCG(1, 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := ls.openStoreLinks(rand.New(rand.NewPCG(1, 2))); err != nil {
 		t.Fatal(err)
 	}
-	if l := ls.toStore["n1"]; l == nil || l.target != store || places[0].Store == store {
-		t.Errorf("the way to the store is %+v at %s", l, places[0].Store)
+	if l := ls.toStore["n1"]; l == nil || l.target != store || instances[0].Store == store {
+		t.Errorf("the way to the store is %+v at %s", l, instances[0].Store)
 	}
 }
 
 // Guards against link faults that have no effect or persist after they are cleared.
 func TestLinks(t *testing.T) {
-	places := []place{{ID: "n1", Peer: startEcho(t)}}
-	ls, err := openLinks(places, rand.New(rand.NewPCG(1, 1)))
+	instances := []instanceSpec{{ID: "n1", Peer: startEcho(t)}}
+	ls, err := openLinks(instances, rand.New(rand.NewPCG(1, 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	l := ls.byInstance["n1"]
 	connect := func() net.Conn {
-		c, err := net.Dial("tcp", places[0].Link)
+		c, err := net.Dial("tcp", instances[0].Link)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/deploy/soak/load.go
+++ b/deploy/soak/load.go
@@ -48,11 +48,11 @@
 	revokedAt time.Time
 }
 
-func newLoad(places []place, config emulator.Config, rate float64, source *rand.Rand) *load {
+func newLoad(instances []instanceSpec, config emulator.Config, rate float64, source *rand.Rand) *load {
 	l := &load{config: config, rate: rate, random: source, contacts: make(map[string][]contact), key: "u0", zero: time.Now()}
 	l.rateFactor.Store(1)
 	var directory []string
-	for _, i := range places {
+	for _, i := range instances {
 		directory = append(directory, i.Addresses)
 	}
 	for n := range 8 {
--- a/deploy/soak/main.go
+++ b/deploy/soak/main.go
@@ -30,8 +30,8 @@
 	host      = "a.example"
 )
 
-// place is where one instance is.
-type place struct {
+// instanceSpec is the id, zone and addresses of one instance.
+type instanceSpec struct {
 	ID, Zone                           string
 	Store                              string // its own way to the store
 	Listen, Readiness, Addresses, Peer string
@@ -67,10 +67,10 @@
 	}
 }
 
-// readPlaces reads what world wrote.
-func readPlaces(o options) (places []place, err error) {
+// readInstances reads what world wrote.
+func readInstances(o options) (instances []instanceSpec, err error) {
 	text, err := os.ReadFile(filepath.Join(o.dir, "plan.json"))
-	return places, errors.Join(err, json.Unmarshal(text, &places))
+	return instances, errors.Join(err, json.Unmarshal(text, &instances))
 }
 
 // writeWhole writes a file that others wait for: it is there whole or not at all.
@@ -82,14 +82,14 @@
 	return os.Rename(path+".part", path)
 }
 
-// choosePlaces gives each instance an IP number of its own, and ports that are free there. They lie outside of the range
+// chooseInstances gives each instance an IP number of its own, and ports that are free there. They lie outside of the range
 // from which the system gives ports to others, since an instance comes back to them.
-func choosePlaces(count int) (places []place) {
+func chooseInstances(count int) (instances []instanceSpec) {
 	pid := os.Getpid()
 	port := 20000 + pid%4000
 	for n := 1; n <= count; n++ {
 		ip := fmt.Sprintf("127.%d.%d.%d", 100+pid>>8&0x7f, pid&0xff, 10+n)
-		i := place{ID: fmt.Sprintf("n%d", n), Zone: fmt.Sprintf("z%d", 1+n%2)}
+		i := instanceSpec{ID: fmt.Sprintf("n%d", n), Zone: fmt.Sprintf("z%d", 1+n%2)}
 		for _, address := range []*string{&i.Listen, &i.Readiness, &i.Addresses, &i.Peer} {
 			for ; *address == ""; port++ {
 				if l, err := net.Listen("tcp", net.JoinHostPort(ip, strconv.Itoa(port))); err == nil {
@@ -98,9 +98,9 @@
 				}
 			}
 		}
-		places = append(places, i)
+		instances = append(instances, i)
 	}
-	return places
+	return instances
 }
 
 // settings is what deploy/settings.toml.tmpl becomes on a machine, for this deployment.
@@ -110,8 +110,8 @@
 
 // writeSettings writes a file for each instance.
 func writeSettings(o options) error {
-	places, err := readPlaces(o)
-	for _, i := range places {
+	instances, err := readInstances(o)
+	for _, i := range instances {
 		var text bytes.Buffer
 		made := template.Must(template.New("").Parse(settings)).Execute(&text, map[string]any{"at": i, "touch": touchTime, "apply": applyTime})
 		err = errors.Join(err, made, writeWhole(o.dir, i.ID+".toml", text.Bytes()))
@@ -121,17 +121,17 @@
 
 // awaitReady waits until all instances are ready and name one another to clients.
 func awaitReady(o options) error {
-	places, err := readPlaces(o)
+	instances, err := readInstances(o)
 	for end := time.Now().Add(20 * time.Second); err == nil; time.Sleep(50 * time.Millisecond) {
-		n := slices.IndexFunc(places, func(i place) bool {
+		n := slices.IndexFunc(instances, func(i instanceSpec) bool {
 			var answer struct{ Addresses []string }
-			return !get(i.Readiness+platform.ReadinessPath, nil) || !get(i.Addresses+platform.AddressPath+"?zone="+i.Zone, &answer) || len(answer.Addresses) != len(places)
+			return !get(i.Readiness+platform.ReadinessPath, nil) || !get(i.Addresses+platform.AddressPath+"?zone="+i.Zone, &answer) || len(answer.Addresses) != len(instances)
 		})
 		if n < 0 {
 			return nil
 		}
 		if time.Now().After(end) {
-			err = fmt.Errorf("%s isn't ready, or doesn't name all instances", places[n].ID)
+			err = fmt.Errorf("%s isn't ready, or doesn't name all instances", instances[n].ID)
 		}
 	}
 	return err
--- a/deploy/soak/probes.go
+++ b/deploy/soak/probes.go
@@ -26,7 +26,7 @@
 
 // probe is a request for an addedRoute at one instance.
 type probe struct {
-	place       string // id of the instance
+	instance    string // id of the instance
 	prefix      string
 	sent, ended time.Time
 	status      int
@@ -34,15 +34,15 @@
 
 // storeFault is the period of a store fault.
 type storeFault struct {
-	place    string    // id of the instance, "" = all
+	instance string    // id of the instance, "" = all
 	from, to time.Time // to is zero while the fault lasts
 }
 
 // probes sends requests for added and removed routes to single instances.
 type probes struct {
-	places []place
-	client map[string]*emulator.Client // by id of the instance
-	random *rand.Rand
+	instances []instanceSpec
+	client    map[string]*emulator.Client // by id of the instance
+	random    *rand.Rand
 	// interval is the time between two probes.
 	interval time.Duration
 
@@ -52,9 +52,9 @@
 	storeFaults []storeFault
 }
 
-func newProbes(places []place, source *rand.Rand) *probes {
-	p := &probes{places: places, client: make(map[string]*emulator.Client), random: source, interval: probeInterval}
-	for n, i := range places {
+func newProbes(instances []instanceSpec, source *rand.Rand) *probes {
+	p := &probes{instances: instances, client: make(map[string]*emulator.Client), random: source, interval: probeInterval}
+	for n, i := range instances {
 		p.client[i.ID] = emulator.NewClient(emulator.ClientOptions{
 			Addresses: []string{i.Listen}, Random: rand.New(rand.NewPCG(source.Uint64(), uint64(n))), Dial: emulator.Loopback{}.Dial,
 		})
@@ -89,11 +89,11 @@
 
 // beginStoreFault records a store fault for the instance, or for all (""), that
 // lasts until end is called.
-func (p *probes) beginStoreFault(place string) (end func()) {
+func (p *probes) beginStoreFault(instance string) (end func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := len(p.storeFaults)
-	p.storeFaults = append(p.storeFaults, storeFault{place: place, from: time.Now()})
+	p.storeFaults = append(p.storeFaults, storeFault{instance: instance, from: time.Now()})
 	return func() {
 		p.mu.Lock()
 		defer p.mu.Unlock()
@@ -108,7 +108,7 @@
 	for n := 0; pause(ctx, p.interval); n++ {
 		p.mu.Lock()
 		newest := p.routes[max(len(p.routes)-6, 0):]
-		at := p.places[p.random.IntN(len(p.places))].ID
+		at := p.instances[p.random.IntN(len(p.instances))].ID
 		if len(newest) == 0 {
 			p.mu.Unlock()
 			continue
@@ -146,7 +146,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, one := range p.finished {
-		if !p.counts(one, signals[one.place]) {
+		if !p.counts(one, signals[one.instance]) {
 			continue
 		}
 		counted++
@@ -156,9 +156,9 @@
 			}
 			switch {
 			case one.status == http.StatusNotFound && one.sent.After(r.added.Add(applyTime)) && (r.removed.IsZero() || one.ended.Before(r.removed)):
-				broken = append(broken, fmt.Sprintf("broken: config probe %s at %s answered 404, %v after the route was added", one.prefix, one.place, one.sent.Sub(r.added).Round(time.Millisecond)))
+				broken = append(broken, fmt.Sprintf("broken: config probe %s at %s answered 404, %v after the route was added", one.prefix, one.instance, one.sent.Sub(r.added).Round(time.Millisecond)))
 			case one.status == http.StatusOK && !r.removed.IsZero() && one.sent.After(r.removed.Add(applyTime)):
-				broken = append(broken, fmt.Sprintf("broken: config probe %s at %s was served, %v after the route was removed", one.prefix, one.place, one.sent.Sub(r.removed).Round(time.Millisecond)))
+				broken = append(broken, fmt.Sprintf("broken: config probe %s at %s was served, %v after the route was removed", one.prefix, one.instance, one.sent.Sub(r.removed).Round(time.Millisecond)))
 			}
 		}
 	}
@@ -171,7 +171,7 @@
 	from := one.sent.Add(-touchTime)
 	signalled := slices.ContainsFunc(signals, func(at time.Time) bool { return at.After(from) && at.Before(one.ended) })
 	faulty := slices.ContainsFunc(p.storeFaults, func(s storeFault) bool {
-		return (s.place == "" || s.place == one.place) && s.from.Before(one.ended) && (s.to.IsZero() || s.to.After(from))
+		return (s.instance == "" || s.instance == one.instance) && s.from.Before(one.ended) && (s.to.IsZero() || s.to.After(from))
 	})
 	return !signalled && !faulty
 }
--- a/deploy/soak/soak_test.go
+++ b/deploy/soak/soak_test.go
@@ -16,9 +16,9 @@
 // TestSettings: instances take the settings.
 func TestSettings(t *testing.T) {
 	o := options{dir: t.TempDir()}
-	places := choosePlaces(3)
-	places[0].Store, places[1].Store, places[2].Store = "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"
-	text, err := json.Marshal(places)
+	instances := chooseInstances(3)
+	instances[0].Store, instances[1].Store, instances[2].Store = "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"
+	text, err := json.Marshal(instances)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -32,7 +32,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Instance.ID != "n2" || c.Ingress.Listen != places[1].Listen || c.Platform.Endpoints[0] != "http://127.0.0.1:2" || c.Ingress.Touch.Duration != touchTime {
+	if c.Instance.ID != "n2" || c.Ingress.Listen != instances[1].Listen || c.Platform.Endpoints[0] != "http://127.0.0.1:2" || c.Ingress.Touch.Duration != touchTime {
 		t.Errorf("%+v", c)
 	}
 }
@@ -59,7 +59,7 @@
 func TestWeigh(t *testing.T) {
 	began := time.Unix(1000, 0)
 	a := emulator.Attempt{ID: "a", Ask: emulator.Ask{Path: "/once/x?n=1"}, Sent: began, Ended: began.Add(time.Second)}
-	places := []place{{ID: "n1", Listen: "n1:1"}, {ID: "n2", Listen: "n2:1"}}
+	instances := []instanceSpec{{ID: "n1", Listen: "n1:1"}, {ID: "n2", Listen: "n2:1"}}
 	l := &load{contacts: map[string][]contact{a.Ask.Path: {{"n1:1", began}, {"n2:1", began.Add(-time.Second)}}}} // n2 had an earlier attempt
 	for _, c := range []struct {
 		what, name, signals string
@@ -91,7 +91,7 @@
 		if c.unknown {
 			attempt = emulator.Attempt{}
 		}
-		r.weigh(emulator.Violation{Name: c.name, Attempt: a.ID}, attempt, l.instancesOf(attempt, places), kills, "")
+		r.weigh(emulator.Violation{Name: c.name, Attempt: a.ID}, attempt, l.instancesOf(attempt, instances), kills, "")
 		if len(r.broken) != c.broken || len(r.broken)+len(r.uncounted) != 1 {
 			t.Errorf("%s: broken %q, not counted %v", c.what, r.broken, r.uncounted)
 		}
@@ -122,7 +122,7 @@
 		{"signal before the probe", 5, 404, 4, nil, 0, 0},
 		{"signal long before the probe", 5, 404, 2, nil, 1, 1},
 		{"store fault", 5, 404, 0, &storeFault{from: at(4), to: at(4.5)}, 0, 0},
-		{"store fault for another instance", 5, 404, 0, &storeFault{place: "n2", from: at(4), to: at(4.5)}, 1, 1},
+		{"store fault for another instance", 5, 404, 0, &storeFault{instance: "n2", from: at(4), to: at(4.5)}, 1, 1},
 		{"removed, not found", 14, 404, 0, nil, 0, 1},
 		{"removed, served", 14, 200, 0, nil, 1, 1},
 		{"removed just now", 11, 200, 0, nil, 0, 1},
--- a/deploy/soak/verdict.go
+++ b/deploy/soak/verdict.go
@@ -31,7 +31,7 @@
 func (r result) counts(ended time.Time) bool { return r.cut.IsZero() || ended.Before(r.cut) }
 
 // judge compares what clients saw with what servers did.
-func judge(o options, places []place, w *emulator.World, l *load, h *hurter, cut time.Time) result {
+func judge(o options, instances []instanceSpec, w *emulator.World, l *load, h *hurter, cut time.Time) result {
 	r := result{
 		cut: cut, wrong: h.wrong, runs: len(w.Journal.Runs()), pieces: len(w.Journal.Pieces()), faults: h.counts,
 		unserved: make(map[string]int), uncounted: make(map[string]int), revokeds: make(map[string]int),
@@ -59,7 +59,7 @@
 	}
 	for _, v := range w.Check(slices.Concat(l.clients, h.probes.clients())...) {
 		a := attempts[v.Attempt] // zero if no client sent it
-		r.weigh(v, a, append(l.instancesOf(a, places), h.probes.instancesOf(a)...), kills, fmt.Sprintf("%s at %.2f s, ended %v before its deadline", a.Ask.Path,
+		r.weigh(v, a, append(l.instancesOf(a, instances), h.probes.instancesOf(a)...), kills, fmt.Sprintf("%s at %.2f s, ended %v before its deadline", a.Ask.Path,
 			a.Sent.Sub(l.zero).Seconds(), ends[a.Ask.Path].Sub(a.Ended).Round(time.Millisecond)))
 	}
 	return r
@@ -110,11 +110,11 @@
 }
 
 // instancesOf are the instances that an attempt was sent to.
-func (l *load) instancesOf(a emulator.Attempt, places []place) (ids []string) {
+func (l *load) instancesOf(a emulator.Attempt, instances []instanceSpec) (ids []string) {
 	for _, c := range l.contacts[a.Ask.Path] {
-		n := slices.IndexFunc(places, func(i place) bool { return i.Listen == c.address })
+		n := slices.IndexFunc(instances, func(i instanceSpec) bool { return i.Listen == c.address })
 		if n >= 0 && !c.at.Before(a.Sent) && !c.at.After(a.Ended) {
-			ids = append(ids, places[n].ID)
+			ids = append(ids, instances[n].ID)
 		}
 	}
 	return ids
--- a/deploy/soak/world.go
+++ b/deploy/soak/world.go
@@ -25,15 +25,15 @@
 var worldJSON []byte
 
 // openStores gives each instance its own way to the store, so that faults can be those of one.
-func openStores(w *emulator.World, places []place) error {
-	for n := range places {
+func openStores(w *emulator.World, instances []instanceSpec) error {
+	for n := range instances {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			return err
 		}
-		places[n].Store = l.Addr().String()
+		instances[n].Store = l.Addr().String()
 		front := http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
-			r.RemoteAddr = places[n].ID + ":" + r.RemoteAddr
+			r.RemoteAddr = instances[n].ID + ":" + r.RemoteAddr
 			w.Store.ServeHTTP(rw, r)
 		})
 		go func() { _ = (&http.Server{Handler: front}).Serve(l) }() // ends with the process
@@ -58,13 +58,13 @@
 		return err
 	}
 	defer w.Close()
-	places := choosePlaces(o.instances)
-	ls, linksErr := openLinks(places, source(5))
-	err = errors.Join(linksErr, openStores(w, places))
+	instances := chooseInstances(o.instances)
+	ls, linksErr := openLinks(instances, source(5))
+	err = errors.Join(linksErr, openStores(w, instances))
 	if err == nil {
 		err = ls.openStoreLinks(source(6))
 	}
-	text, _ := json.Marshal(places) // strings only
+	text, _ := json.Marshal(instances) // strings only
 	if err := errors.Join(err, writeWhole(o.dir, "plan.json", text)); err != nil {
 		return err
 	}
@@ -74,9 +74,9 @@
 			return writeWhole(o.dir, "result.txt", []byte("interrupted before the load began\n"))
 		}
 	}
-	l := newLoad(places, d.Config, o.rate, source(2))
-	p := newProbes(places, source(4))
-	h := &hurter{world: w, places: places, load: l, probes: p, links: ls, random: source(3), leaving: make(map[string]bool), counts: make(map[string]int), onlySever: o.severed}
+	l := newLoad(instances, d.Config, o.rate, source(2))
+	p := newProbes(instances, source(4))
+	h := &hurter{world: w, instances: instances, load: l, probes: p, links: ls, random: source(3), leaving: make(map[string]bool), counts: make(map[string]int), onlySever: o.severed}
 	if o.severed {
 		p.interval = severedProbeInterval
 	}
@@ -86,7 +86,7 @@
 	if !settled(w, 10*time.Second) {
 		h.wrong = append(h.wrong, "wrong: servers are still at work 10 s after the load")
 	}
-	if err := writeWhole(o.dir, "result.txt", []byte(judge(o, places, w, l, h, cut).String())); err != nil {
+	if err := writeWhole(o.dir, "result.txt", []byte(judge(o, instances, w, l, h, cut).String())); err != nil {
 		return err
 	}
 	<-ended.Done()
--- a/internal/bench/attach.go
+++ b/internal/bench/attach.go
@@ -57,13 +57,13 @@
 func (a *Attached) Places() []string { return a.Layout.Places }
 
 // Caller returns a client of an organisation.
-func (a *Attached) Caller(organisation, place string) *client.Caller {
+func (a *Attached) Caller(organisation, zone string) *client.Caller {
 	var servers []string
 	for _, i := range a.Layout.Instances {
 		servers = append(servers, i.Caller)
 	}
 	return client.NewCaller(client.CallerOptions{
-		Servers: servers, Token: a.Layout.CallerTokens[organisation], Place: place, Region: a.Layout.Region,
+		Servers: servers, Token: a.Layout.CallerTokens[organisation], Place: zone, Region: a.Layout.Region,
 		Silence: callerSilence, Tickets: a.tickets,
 	})
 }
--- a/internal/bench/cluster.go
+++ b/internal/bench/cluster.go
@@ -62,7 +62,7 @@
 	profiles  []profile.Profile
 }
 
-// StartCluster starts the stand-ins and the instances, spread over the places.
+// StartCluster starts the stand-ins and the instances, spread over the zones.
 func StartCluster(opts ClusterOptions) (*Cluster, error) {
 	network := netfault.New()
 	if !opts.Plain {
@@ -131,9 +131,9 @@
 }
 
 // Caller returns a client of an organisation.
-func (c *Cluster) Caller(organisation, place string) *client.Caller {
+func (c *Cluster) Caller(organisation, zone string) *client.Caller {
 	return client.NewCaller(client.CallerOptions{
-		Servers: c.callerAddrs(), Token: c.callers[organisation], Place: place, Region: c.Fleet.Region,
+		Servers: c.callerAddrs(), Token: c.callers[organisation], Place: zone, Region: c.Fleet.Region,
 		Silence: callerSilence, Tickets: c.opts.Tickets,
 	})
 }
--- a/internal/bench/fault.go
+++ b/internal/bench/fault.go
@@ -21,7 +21,7 @@
 	At         Duration `toml:"at" json:"at"`
 	For        Duration `toml:"for" json:"for,omitempty"` // 0 = until the end
 	// Subject is what the fault is done to: the number of an instance (from
-	// 0), the id of a target, a service, or a place. "" draws one by the seed.
+	// 0), the id of a target, a service, or a zone. "" draws one by the seed.
 	Subject string  `toml:"subject" json:"subject,omitempty"`
 	Count   int     `toml:"count" json:"count,omitempty"` // targets of a service; 0 = 1
 	Value   float64 `toml:"value" json:"value,omitempty"` // factor or share, by kind
@@ -52,7 +52,7 @@
 	"restart_all":      {"kill all instances at once and start them again", restartAll},
 	"partition":        {"cut the instances in two halves; the platform stays with the first", partition},
 	"partition_oneway": {"the first half does not reach the second", partitionOneWay},
-	"place_loss":       {"kill every instance and target of a place", placeLoss},
+	"place_loss":       {"kill every instance and target of a zone", placeLoss},
 	"store_outage":     {"the platform refuses every call", storeRefuses},
 	"store_hang":       {"the platform answers no call", storeHangs},
 	"store_slow":       {"the platform is slow by value seconds", storeSlow},
@@ -68,8 +68,8 @@
 	"poison":           {"some requests crash every target that runs them", poison},
 	"profile_race":     {"operators change the same profile at the same time", profileRace},
 	"lease_pause":      {"freeze the order-giver of lynx-pool for longer than its lease", leasePause},
-	"drain_place":      {"an operator drains a place", drainPlace},
-	"evacuate_place":   {"an operator keeps new work from the targets of a place", evacuatePlace},
+	"drain_place":      {"an operator drains a zone", drainPlace},
+	"evacuate_place":   {"an operator keeps new work from the targets of a zone", evacuatePlace},
 }
 
 // FaultKinds lists the kinds of faults with what they do.
--- a/internal/bench/fault_instance.go
+++ b/internal/bench/fault_instance.go
@@ -83,19 +83,19 @@
 	return func() {}, nil
 }
 
-// placeLoss kills what is in a place; it is replaced when the fault ends.
+// placeLoss kills what is in a zone; it is replaced when the fault ends.
 func placeLoss(_ context.Context, f *faultRun) (func(), error) {
-	place := f.Subject
-	if place == "" {
-		place = f.cluster.Fleet.Places[f.rng.IntN(len(f.cluster.Fleet.Places))]
+	zone := f.Subject
+	if zone == "" {
+		zone = f.cluster.Fleet.Places[f.rng.IntN(len(f.cluster.Fleet.Places))]
 	}
-	members := f.cluster.Fleet.Place(place)
+	members := f.cluster.Fleet.Place(zone)
 	if len(members) == 0 {
-		return nil, fmt.Errorf("no place %q", place)
+		return nil, fmt.Errorf("no zone %q", zone)
 	}
 	var instances []int
 	for i := range f.cluster.opts.Instances {
-		if f.cluster.placeOf(i) == place {
+		if f.cluster.placeOf(i) == zone {
 			instances = append(instances, i)
 		}
 	}
@@ -105,7 +105,7 @@
 	for _, i := range instances {
 		f.cluster.KillInstance(i)
 	}
-	f.note("place %s lost: %d targets, %d instances", place, len(members), len(instances))
+	f.note("zone %s lost: %d targets, %d instances", zone, len(members), len(instances))
 	return func() {
 		for _, m := range members {
 			restartTarget(m)
--- a/internal/bench/load.go
+++ b/internal/bench/load.go
@@ -98,7 +98,7 @@
 	item
 }
 
-// callerKey: the services of an organisation in a place share a kept address
+// callerKey: the services of an organisation in a zone share a kept address
 // answer.
 type callerKey struct{ organisation, place string }
 
--- a/internal/bench/stages/result.go
+++ b/internal/bench/stages/result.go
@@ -14,7 +14,7 @@
 	ThrownAway                            int           // pieces made that no answer came from
 	NoRoom                                int           // pieces refused for want of room
 	Full                                  int           // calls that found the target full
-	Moved                                 int64         // bytes between places
+	Moved                                 int64         // bytes between zones
 	ReadAgain                             int           // prompt tokens
 	FirstMean, FirstP99                   time.Duration // of the first event
 
--- a/internal/bench/stages/server.go
+++ b/internal/bench/stages/server.go
@@ -128,7 +128,7 @@
 }
 
 // begin decides about each piece and takes the room. fetched is the bytes of
-// inputs from other places.
+// inputs from other zones.
 func (s *server) begin(pieces []relay.Piece) (results []relay.PieceResult, made []*result, fetched int64) {
 	free := s.limits.ResultRoom - s.used()
 	for _, p := range pieces {
@@ -160,15 +160,15 @@
 	return r
 }
 
-// inputs returns the bytes of results that lie outside the place, and whether
+// inputs returns the bytes of results that lie outside the zone, and whether
 // all are there.
-func (d *day) inputs(handles []string, place string) (far int64, ok bool) {
+func (d *day) inputs(handles []string, zone string) (far int64, ok bool) {
 	for _, h := range handles {
 		r := d.results[h]
 		if !r.there(d.now) {
 			return 0, false
 		}
-		if r.server.target.Place != place {
+		if r.server.target.Place != zone {
 			far += r.bytes
 		}
 	}
--- a/internal/bench/stages/site.go
+++ b/internal/bench/stages/site.go
@@ -24,10 +24,10 @@
 	engineCount = 8
 )
 
-// places are where targets and instances lie, by turns.
+// places are the zones where targets and instances lie, by turns.
 var places = []string{"east", "west"}
 
-// linkSpeed is what one transfer between two places gets, in bytes a second.
+// linkSpeed is what one transfer between two zones gets, in bytes a second.
 const linkSpeed = 500 * mb
 
 // hop is the time of a short message.
--- a/internal/bench/system.go
+++ b/internal/bench/system.go
@@ -12,7 +12,7 @@
 type System interface {
 	Deployment() string // fleet.MediaPlace or fleet.Kilimanjaro
 	Places() []string
-	Caller(organisation, place string) *client.Caller
+	Caller(organisation, zone string) *client.Caller
 }
 
 // Evidence is what targets and instances have noted during a load. The answers
--- a/internal/standin/fleet/deployment.go
+++ b/internal/standin/fleet/deployment.go
@@ -1,5 +1,5 @@
 // Package fleet builds the deployments of the two users out of stand-ins: a
-// platform and all targets with the users' names, counts and places.
+// platform and all targets with the users' names, counts and zones.
 package fleet
 
 import (
@@ -53,7 +53,7 @@
 	// Network, if given, carries all connections to the stand-ins. Owner
 	// names the owners.
 	Network *netfault.Network
-	// Latency sets the deployment's latency between its places on Network.
+	// Latency sets the deployment's latency between its zones on Network.
 	Latency bool
 }
 
@@ -186,13 +186,13 @@
 
 func (d *Deployment) startMember(p pool, index, count int) (*Member, error) {
 	id := fmt.Sprintf("%s-%d", p.service, index+1)
-	place := d.Places[index%len(d.Places)]
+	zone := d.Places[index%len(d.Places)]
 	seed := d.opts.Seed*1000 + uint64(len(d.members)) + 1
 	member := &Member{Instance: platformapi.Instance{
 		ID:      id,
 		Service: p.service,
 		Kind:    p.kind,
-		Place:   place,
+		Place:   zone,
 		Region:  d.Region,
 		State:   platformapi.StateLive,
 	}}
@@ -258,12 +258,12 @@
 // PlatformID. Deployments may share a Network.
 func (d *Deployment) Owner(id string) string { return d.Name + "/" + id }
 
-func (d *Deployment) listen(id, place string) loopback.ListenFunc {
+func (d *Deployment) listen(id, zone string) loopback.ListenFunc {
 	if d.opts.Network == nil {
 		return nil
 	}
 	owner := d.Owner(id)
-	d.opts.Network.SetPlace(owner, place)
+	d.opts.Network.SetPlace(owner, zone)
 	return func(addr string) (net.Listener, error) { return d.opts.Network.Listen(owner, addr) }
 }
 
--- a/internal/standin/fleet/fleet_test.go
+++ b/internal/standin/fleet/fleet_test.go
@@ -71,7 +71,7 @@
 			}
 		}
 		if providers[ProviderOld] != 6 || providers[ProviderNew] != 6 || len(d.Places) != 4 {
-			t.Errorf("%s: providers %v, places %v", name, providers, d.Places)
+			t.Errorf("%s: providers %v, zones %v", name, providers, d.Places)
 		}
 	}
 }
@@ -124,8 +124,8 @@
 	}
 }
 
-// A daemon is cut from one place and frozen for a moment: its calls to that
-// place wait, those to others don't, and all get through in the end.
+// A daemon is cut from one zone and frozen for a moment: its calls to that
+// zone wait, those to others don't, and all get through in the end.
 func TestDeploymentOverAFaultyNetwork(t *testing.T) {
 	network := netfault.New()
 	t.Cleanup(network.Close)
--- a/internal/standin/fleet/layout.go
+++ b/internal/standin/fleet/layout.go
@@ -31,8 +31,8 @@
 	kindGenerate = "generate"
 )
 
-// One-way latencies of the deployments between their places, and between a
-// client and its place.
+// One-way latencies of the deployments between their zones, and between a
+// client and its zone.
 const (
 	LatencyMediaPlace  = time.Millisecond
 	LatencyKilimanjaro = 1500 * time.Microsecond
@@ -43,7 +43,7 @@
 type layout struct {
 	region        string
 	places        []string
-	latency       time.Duration // one way, between places
+	latency       time.Duration // one way, between zones
 	pools         []pool
 	organisations []string
 }
--- a/internal/standin/fleet/members.go
+++ b/internal/standin/fleet/members.go
@@ -26,7 +26,7 @@
 	return d.filter(func(m *Member) bool { return m.Instance.Service == name })
 }
 
-// Place returns the targets in a place.
+// Place returns the targets in a zone.
 func (d *Deployment) Place(name string) []*Member {
 	return d.filter(func(m *Member) bool { return m.Instance.Place == name })
 }
--- a/internal/standin/netfault/network.go
+++ b/internal/standin/netfault/network.go
@@ -1,5 +1,5 @@
 // Package netfault puts faults between the daemons and stand-ins of one
-// process: latency between places, partitions, connections that go silent,
+// process: latency between zones, partitions, connections that go silent,
 // and owners that freeze or die. Connections are real TCP on loopback. The
 // rules may be changed at any moment. An idle connection costs no goroutine.
 package netfault
@@ -64,17 +64,17 @@
 	}
 }
 
-// SetPlace says in which place an owner is.
-func (n *Network) SetPlace(owner, place string) {
-	n.change(func(r *rules) { r.places[owner] = place })
+// SetPlace says in which zone an owner is.
+func (n *Network) SetPlace(owner, zone string) {
+	n.change(func(r *rules) { r.places[owner] = zone })
 }
 
-// SetLatency sets the one-way latency between two places, or within one.
+// SetLatency sets the one-way latency between two zones, or within one.
 func (n *Network) SetLatency(a, b string, d time.Duration) {
 	n.change(func(r *rules) { r.latency[pairOf(a, b)] = d })
 }
 
-// SetLatencyBetween sets the one-way latency between different places that
+// SetLatencyBetween sets the one-way latency between different zones that
 // have none of their own.
 func (n *Network) SetLatencyBetween(d time.Duration) {
 	n.change(func(r *rules) { r.between = d })
--- a/internal/standin/netfault/rules.go
+++ b/internal/standin/netfault/rules.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// placePair is an unordered pair of places, the lesser name first.
+// placePair is an unordered pair of zones, the lesser name first.
 type placePair struct{ a, b string }
 
 func pairOf(a, b string) placePair {
@@ -32,7 +32,7 @@
 	changed chan struct{}
 	places  map[string]string // by owner
 	latency map[placePair]time.Duration
-	between time.Duration // different places without an entry in latency
+	between time.Duration // different zones without an entry in latency
 	cuts    []cut
 	frozen  map[string]bool
 	dead    map[string]bool
@@ -61,7 +61,7 @@
 }
 
 // delay returns the one-way latency between two owners. It is 0 where one of
-// them has no place.
+// them has no zone.
 func (r *rules) delay(from, to string) time.Duration {
 	a, b := r.places[from], r.places[to]
 	if a == "" || b == "" {
--- a/internal/virtualtest/virtualtest.go
+++ b/internal/virtualtest/virtualtest.go
@@ -24,7 +24,7 @@
 	return usual
 }
 
-// Member is the i-th instance of a fleet in four places of one region.
+// Member is the i-th instance of a fleet in four zones of one region.
 func Member(i int) board.Member {
 	addr := fmt.Sprintf("10.0.%d.%d:7300", i/250, i%250)
 	return board.Member{
