--- a/internal/report/barplot.go
+++ b/internal/report/barplot.go
@@ -16,22 +16,22 @@
 	"lynxhill.example/lynxhill/internal/wire/lynxapi"
 )
 
-// Layout of bars.
+// Layout of bar plots.
 const (
 	barWidthOne   = vg.Length(11)
 	barWidthTwo   = vg.Length(7)
-	headroom      = 1.12 // of the longest bar, for the value behind it
+	headroom      = 1.12 // factor on the longest bar's length: leaves room for the value after the bar
 	maxBarLabel   = 66   // characters
 	twoBarRow     = vg.Length(26)
 	valueLabelGap = vg.Length(4)
 )
 
-// bars is a horizontal bar plot. Lists are given in reading order, from the
-// top; the plotting library counts from the bottom.
+// bars is a horizontal bar plot. Its lists are ordered from top to bottom; the
+// plotting library orders them from bottom to top.
 type bars struct {
 	plot   *plot.Plot
 	labels []string
-	ends   []float64 // of the longest bar of each row, where its value is written
+	ends   []float64 // end of the longest bar of each row, where the value is written
 	values []string
 }
 
@@ -42,7 +42,7 @@
 	return b
 }
 
-// zeroTicks leaves out negative and minor ticks.
+// zeroTicks is a plot.Ticker without negative and minor ticks.
 type zeroTicks struct{}
 
 // Ticks implements plot.Ticker.
@@ -57,8 +57,8 @@
 	return kept
 }
 
-// add adds one set of bars, on top of another one if that is not nil.
-func (b *bars) add(values []float64, colour ink, width, offset vg.Length, on *plotter.BarChart) (*plotter.BarChart, error) {
+// add adds one bar per row. The bars are stacked on those of on, unless on is nil.
+func (b *bars) add(values []float64, colour colourRole, width, offset vg.Length, on *plotter.BarChart) (*plotter.BarChart, error) {
 	reversed := slices.Clone(values)
 	slices.Reverse(reversed)
 	chart, err := plotter.NewBarChart(plotter.Values(reversed), width)
@@ -76,14 +76,14 @@
 	return chart, nil
 }
 
-// draw writes the labels and values and returns the picture.
+// draw adds the labels and values and returns the plot as an SVG.
 func (b *bars) draw(rowHeight vg.Length, description string) (template.HTML, error) {
 	names := make([]string, len(b.labels))
 	for i, label := range b.labels {
 		names[len(names)-1-i] = shorten(label)
 	}
 	b.plot.NominalY(names...)
-	b.plot.Y.Tick.Label.Color = inkText.color()
+	b.plot.Y.Tick.Label.Color = roleText.color()
 	b.plot.Y.Tick.Label.Font = sans(textSize)
 	b.plot.Y.LineStyle.Width = thinLine
 	b.plot.Y.Tick.Length = 0
@@ -114,7 +114,7 @@
 		return nil, err
 	}
 	for i := range labels.TextStyle {
-		labels.TextStyle[i].Color = inkMuted.color()
+		labels.TextStyle[i].Color = roleMuted.color()
 		labels.TextStyle[i].Font = sans(textSize)
 		labels.TextStyle[i].YAlign = text.YCenter
 	}
@@ -130,7 +130,7 @@
 	return string(letters[:maxBarLabel-1]) + "…"
 }
 
-// burnPlot draws the burn of each profile over both windows.
+// burnPlot draws the burn rate of each profile over both windows.
 func burnPlot(rows []lynxapi.BurnRow) (template.HTML, error) {
 	if len(rows) == 0 {
 		return "", nil
@@ -142,30 +142,30 @@
 		labels[i], short[i], long[i] = row.Name, row.BurnShort, row.BurnLong
 	}
 	b := newBars(labels)
-	if _, err := b.add(short, inkShort, barWidthTwo, barWidthTwo/2+0.5, nil); err != nil {
+	if _, err := b.add(short, roleShort, barWidthTwo, barWidthTwo/2+0.5, nil); err != nil {
 		return "", err
 	}
-	if _, err := b.add(long, inkLong, barWidthTwo, -barWidthTwo/2-0.5, nil); err != nil {
+	if _, err := b.add(long, roleLong, barWidthTwo, -barWidthTwo/2-0.5, nil); err != nil {
 		return "", err
 	}
 	for i := range rows {
-		b.ends[i] = max(short[i], long[i], 1) // behind the line at 1
-		b.values[i] = factor(short[i]) + " / " + factor(long[i])
+		b.ends[i] = max(short[i], long[i], 1) // to the right of the line at 1
+		b.values[i] = formatBurn(short[i]) + " / " + formatBurn(long[i])
 	}
 	b.plot.Add(limitLine(len(rows)))
 	b.plot.X.Label.Text = "burn: misses as a multiple of what the objective allows; above 1 the budget will not last"
 	return b.draw(twoBarRow, "Burn by profile over the short and the long window")
 }
 
-// limitLine marks the burn of 1.
+// limitLine returns a line at a burn rate of 1.
 func limitLine(rows int) *plotter.Line {
 	return &plotter.Line{
 		XYs:       plotter.XYs{{X: 1, Y: -0.5}, {X: 1, Y: float64(rows) - 0.5}},
-		LineStyle: draw.LineStyle{Color: inkText.color(), Width: 1, Dashes: []vg.Length{4, 3}},
+		LineStyle: draw.LineStyle{Color: roleText.color(), Width: 1, Dashes: []vg.Length{4, 3}},
 	}
 }
 
-// causePlot draws what spent the error budget.
+// causePlot draws the number of missed requests by cause.
 func causePlot(causes []lynxapi.BurnCause) (template.HTML, error) {
 	if len(causes) == 0 {
 		return "", nil
@@ -182,7 +182,7 @@
 		values[i] = float64(c.Count)
 	}
 	b := newBars(labels)
-	if _, err := b.add(values, inkMissed, barWidthOne, 0, nil); err != nil {
+	if _, err := b.add(values, roleMissed, barWidthOne, 0, nil); err != nil {
 		return "", err
 	}
 	for i, c := range shown {
--- a/internal/report/costplot.go
+++ b/internal/report/costplot.go
@@ -10,7 +10,7 @@
 	"lynxhill.example/lynxhill/internal/wire/lynxapi"
 )
 
-// stageCost is the cost of one stage by provider.
+// stageCost holds the costs of one stage, by provider.
 type stageCost struct {
 	profile    string
 	stage      string
@@ -19,7 +19,7 @@
 	rows       []lynxapi.CostRow
 }
 
-// stageCosts groups the rows by stage, the dearest first.
+// stageCosts groups the rows by stage, sorted by descending cost.
 func stageCosts(rows []lynxapi.CostRow) []stageCost {
 	type key struct{ profile, stage string }
 	at := make(map[key]int)
@@ -48,8 +48,7 @@
 	return stages
 }
 
-// providersOf returns the providers by name; those beyond the inks share the
-// last one.
+// providersOf returns the distinct providers, sorted by name.
 func providersOf(rows []lynxapi.CostRow) []string {
 	var names []string
 	for _, row := range rows {
@@ -61,7 +60,9 @@
 	return names
 }
 
-func providerInk(index int) ink { return inkSeries1 + ink(min(index, seriesInks-1)) }
+// providerRole returns the colour role of a provider by its index. Providers
+// beyond the available colours share the last one.
+func providerRole(index int) colourRole { return roleSeries1 + colourRole(min(index, seriesRoles-1)) }
 
 // costPlot draws the cost of each stage, stacked by provider.
 func costPlot(rows []lynxapi.CostRow) (template.HTML, error) {
@@ -85,7 +86,7 @@
 		for j, s := range stages {
 			values[j] = s.byProvider[provider]
 		}
-		chart, err := b.add(values, providerInk(i), barWidthOne, 0, below)
+		chart, err := b.add(values, providerRole(i), barWidthOne, 0, below)
 		if err != nil {
 			return "", err
 		}
--- a/internal/report/html.go
+++ b/internal/report/html.go
@@ -15,11 +15,11 @@
 var pageText string
 
 var page = template.Must(template.New("page").Funcs(template.FuncMap{
-	"share": share, "rounded": rounded, "times": times, "factor": factor, "count": count, "amount": amount, "window": window,
+	"share": share, "rounded": rounded, "times": formatMilliseconds, "factor": formatBurn, "count": count, "amount": amount, "window": window,
 	"missed": missedOf, "stage": stageName, "target": targetName, "perCall": perCall, "wasted": wastedShare,
 }).Parse(pageText))
 
-// view is what the page shows.
+// view is the data of the page template.
 type view struct {
 	Headline      string
 	Class         string // status of the worst profile
@@ -35,22 +35,22 @@
 	CostLegend    []legendEntry
 	HiddenCauses  int
 	Comparisons   []comparison
-	Places        []lynxapi.BurnRow
+	Zones         []lynxapi.BurnRow
 	Organisations []lynxapi.BurnRow
 	HiddenRows    int
 }
 
-// legendEntry names a colour of a plot.
+// legendEntry is one entry of a plot's legend.
 type legendEntry struct {
 	Name   string
 	Colour template.CSS
 }
 
-func legendOf(name string, colour ink) legendEntry {
-	return legendEntry{Name: name, Colour: template.CSS("var(" + inkVariables[colour] + ")")}
+func legendOf(name string, colour colourRole) legendEntry {
+	return legendEntry{Name: name, Colour: template.CSS("var(" + cssVariables[colour] + ")")}
 }
 
-// totals are the figures of all profiles together.
+// totals are the figures over all profiles.
 type totals struct {
 	Attainment float64
 	Requests   uint64
@@ -59,7 +59,7 @@
 	Wasted     float64
 }
 
-// card is one profile.
+// card is the data of one profile's card.
 type card struct {
 	Row       lynxapi.BurnRow
 	Status    string
@@ -69,17 +69,18 @@
 	Plot      template.HTML
 }
 
-// comparison is one provider of a stage that has several, for a migration.
+// comparison is a row of the comparison of a stage's providers, for stages that
+// several providers answered, as during a migration.
 type comparison struct {
 	Cost      lynxapi.CostRow
 	First     bool    // first row of its stage
 	Rows      int     // rows of the stage
 	CallShare float64 // of the stage's calls
-	Against   string  // cost a call against the dearest provider's
+	Against   string  // cost per call relative to the most expensive provider's
 }
 
-// HTML writes the report as one self-contained page: no scripts and no other
-// files, for light and dark.
+// HTML writes the report as one self-contained page, without scripts or external
+// files, with a light and a dark theme.
 func HTML(w io.Writer, r lynxapi.BurnReport) error {
 	v, err := viewOf(r)
 	if err != nil {
@@ -98,7 +99,7 @@
 		Totals:      totalsOf(r, profiles),
 		Report:      r,
 		Comparisons: comparisonsOf(r.Costs),
-		Places:      rowsOf(r, slo.ScopePlace),
+		Zones:       rowsOf(r, slo.ScopePlace),
 	}
 	if len(profiles) > 0 {
 		v.Class = statusOf(profiles[0]).class()
@@ -107,22 +108,22 @@
 	v.Organisations = organisations[:min(len(organisations), shownOrganisations)]
 	v.HiddenRows = len(organisations) - len(v.Organisations)
 	v.BurnLegend = []legendEntry{
-		legendOf("last "+window(r.ShortS), inkShort),
-		legendOf("last "+window(r.LongS), inkLong),
+		legendOf("last "+window(r.ShortS), roleShort),
+		legendOf("last "+window(r.LongS), roleLong),
 	}
 	for i, provider := range providersOf(r.Costs) {
-		v.CostLegend = append(v.CostLegend, legendOf(provider, providerInk(i)))
+		v.CostLegend = append(v.CostLegend, legendOf(provider, providerRole(i)))
 	}
 	v.HiddenCauses = max(len(r.Causes)-shownCauses, 0)
 	return v, v.draw(profiles)
 }
 
-// draw adds the plots.
+// draw renders the plots and stores them in the view.
 func (v *view) draw(profiles []lynxapi.BurnRow) (err error) {
 	if v.Cards, err = cardsOf(v.Report, profiles); err != nil {
 		return err
 	}
-	if v.Burn, err = burnPlot(burning(profiles)); err != nil {
+	if v.Burn, err = burnPlot(profilesToPlot(profiles)); err != nil {
 		return err
 	}
 	if v.Causes, err = causePlot(v.Report.Causes); err != nil {
@@ -132,8 +133,9 @@
 	return err
 }
 
-// burning returns the profiles in use, none if no budget burns.
-func burning(profiles []lynxapi.BurnRow) []lynxapi.BurnRow {
+// profilesToPlot returns the profiles with requests, or nil if none of them has
+// burnt any error budget.
+func profilesToPlot(profiles []lynxapi.BurnRow) []lynxapi.BurnRow {
 	used := slices.DeleteFunc(slices.Clone(profiles), func(row lynxapi.BurnRow) bool { return row.Total == 0 })
 	if !slices.ContainsFunc(used, func(row lynxapi.BurnRow) bool { return row.BurnShort > 0 || row.BurnLong > 0 }) {
 		return nil
@@ -141,7 +143,8 @@
 	return used
 }
 
-// byUrgency orders profiles by what needs a look first.
+// byUrgency returns the profiles sorted by status, the worst first, and then by
+// the remaining error budget.
 func byUrgency(rows []lynxapi.BurnRow) []lynxapi.BurnRow {
 	rows = slices.Clone(rows)
 	urgency := map[status]int{statusMissed: 0, statusAtRisk: 1, statusMet: 2, statusIdle: 3}
@@ -208,7 +211,7 @@
 	case row.Total == 0:
 		return "no requests counted"
 	case row.BudgetLeft < 0:
-		return "error budget spent " + factor(1-row.BudgetLeft) + " times over"
+		return "error budget spent " + formatBurn(1-row.BudgetLeft) + " times over"
 	}
 	return rounded(row.BudgetLeft) + " of the error budget left"
 }
@@ -226,7 +229,8 @@
 	return "met"
 }
 
-// comparisonsOf lists the stages that several providers answered.
+// comparisonsOf returns the comparisons of the stages that several providers
+// answered.
 func comparisonsOf(rows []lynxapi.CostRow) []comparison {
 	var all []comparison
 	for _, stage := range stageCosts(rows) {
@@ -234,11 +238,11 @@
 			continue
 		}
 		var calls uint64
-		dearest := stage.rows[0]
+		mostExpensive := stage.rows[0]
 		for _, c := range stage.rows {
 			calls += c.Calls
-			if perCall(c) > perCall(dearest) {
-				dearest = c
+			if perCall(c) > perCall(mostExpensive) {
+				mostExpensive = c
 			}
 		}
 		for i, c := range stage.rows {
@@ -247,14 +251,15 @@
 				First:     i == 0,
 				Rows:      len(stage.rows),
 				CallShare: float64(c.Calls) / float64(max(calls, 1)),
-				Against:   against(c, dearest),
+				Against:   against(c, mostExpensive),
 			})
 		}
 	}
 	return all
 }
 
-// against says by how much a call costs more or less than at another provider.
+// against returns the difference in cost per call from c to reference, in
+// percent of reference, or "–" where there is nothing to compare.
 func against(c, reference lynxapi.CostRow) string {
 	base := perCall(reference)
 	if c == reference || base <= 0 || c.Calls == 0 {
--- a/internal/report/plot.go
+++ b/internal/report/plot.go
@@ -27,11 +27,11 @@
 	barPadding = vg.Length(36) // axis and its title
 )
 
-// newPlot returns an empty plot in the page's inks.
+// newPlot returns an empty plot in the page's colours.
 func newPlot() *plot.Plot {
 	p := plot.New()
 	p.BackgroundColor = nil
-	p.Title.TextStyle.Color = inkText.color()
+	p.Title.TextStyle.Color = roleText.color()
 	styleAxis(&p.X)
 	styleAxis(&p.Y)
 	return p
@@ -42,21 +42,22 @@
 }
 
 func styleAxis(axis *plot.Axis) {
-	axis.LineStyle.Color = inkGrid.color()
+	axis.LineStyle.Color = roleGrid.color()
 	axis.LineStyle.Width = thinLine
-	axis.Tick.LineStyle.Color = inkGrid.color()
+	axis.Tick.LineStyle.Color = roleGrid.color()
 	axis.Tick.LineStyle.Width = thinLine
 	axis.Tick.Length = 3
-	axis.Tick.Label.Color = inkMuted.color()
+	axis.Tick.Label.Color = roleMuted.color()
 	axis.Tick.Label.Font = sans(textSize)
-	axis.Label.TextStyle.Color = inkMuted.color()
+	axis.Label.TextStyle.Color = roleMuted.color()
 	axis.Label.TextStyle.Font = sans(textSize)
 }
 
-// grid draws thin lines at the ticks.
+// grid returns thin lines at the ticks: vertical lines, or horizontal ones if
+// vertical is false.
 func grid(vertical bool) *plotter.Grid {
 	g := plotter.NewGrid()
-	style := draw.LineStyle{Color: inkGrid.color(), Width: thinLine}
+	style := draw.LineStyle{Color: roleGrid.color(), Width: thinLine}
 	g.Horizontal, g.Vertical = style, draw.LineStyle{}
 	if vertical {
 		g.Horizontal, g.Vertical = draw.LineStyle{}, style
@@ -64,10 +65,11 @@
 	return g
 }
 
-// sizeAttributes are the fixed sizes of the picture, which the page replaces.
+// sizeAttributes matches the fixed size of a picture. It is removed, as the page
+// scales pictures.
 var sizeAttributes = regexp.MustCompile(`<svg width="[^"]*" height="[^"]*"`)
 
-// svg draws the plot as an inline SVG with a description for screen readers.
+// svg renders the plot as an inline SVG with a description for screen readers.
 func svg(p *plot.Plot, width, height vg.Length, description string) (template.HTML, error) {
 	canvas := vgsvg.New(width, height)
 	p.Draw(draw.New(canvas))
@@ -80,8 +82,8 @@
 	if start < 0 {
 		return "", fmt.Errorf("draw %s: the library wrote no SVG", description)
 	}
-	text = inkReplacer.Replace(text[start:])
+	text = placeholderReplacer.Replace(text[start:])
 	label := fmt.Sprintf(`<svg role="img" aria-label="%s"`, template.HTMLEscapeString(description))
 	text = sizeAttributes.ReplaceAllLiteralString(text, label)
-	return template.HTML(text), nil // the library escapes the texts that it draws
+	return template.HTML(text), nil // the library escapes the text it draws
 }
--- a/internal/report/report.go
+++ b/internal/report/report.go
@@ -1,4 +1,4 @@
-// Package report shows a service-level report to people: as text for a
+// Package report renders a service-level report for operators: as text for a
 // terminal, and as one self-contained HTML page with plots.
 package report
 
@@ -13,14 +13,15 @@
 	"lynxhill.example/lynxhill/internal/wire/lynxapi"
 )
 
-// How much of each list is shown. The JSON form of the report has all of it.
+// Numbers of list entries that are shown. The JSON form of the report has the
+// full lists.
 const (
 	shownOrganisations = 15
 	shownCauses        = 12
 	shownCosts         = 24
 )
 
-// rowsOf returns the rows of a scope that saw a request.
+// rowsOf returns the rows of a scope that have requests, excluded ones included.
 func rowsOf(r lynxapi.BurnReport, scope string) []lynxapi.BurnRow {
 	var rows []lynxapi.BurnRow
 	for _, row := range r.Rows {
@@ -31,14 +32,14 @@
 	return rows
 }
 
-// status is how a profile stands against its objective.
+// status is the state of a profile relative to its objective.
 type status int
 
 const (
-	statusMet    status = iota // within its objective
-	statusAtRisk               // within it, but burning faster than it may
-	statusMissed               // the error budget of the window is spent
-	statusIdle                 // no request counted
+	statusMet    status = iota // the objective is met
+	statusAtRisk               // the objective is met, but the error budget burns too fast
+	statusMissed               // the error budget of the window is overspent
+	statusIdle                 // no requests counted
 )
 
 func statusOf(row lynxapi.BurnRow) status {
@@ -53,7 +54,7 @@
 	return statusMet
 }
 
-// String names the status as readers see it.
+// String returns the status as it is shown to operators.
 func (s status) String() string {
 	switch s {
 	case statusMet:
@@ -66,7 +67,7 @@
 	return "idle"
 }
 
-// headline says in one sentence how things stand.
+// headline summarises the report in one sentence.
 func headline(r lynxapi.BurnReport) string {
 	counts := make(map[status]int)
 	profiles := rowsOf(r, slo.ScopeProfile)
@@ -87,7 +88,7 @@
 	return fmt.Sprintf("All %d profiles in use meet their objectives.", used)
 }
 
-// coverage says what the report covers.
+// coverage returns the time, window and instances that the report covers.
 func coverage(r lynxapi.BurnReport) string {
 	text := fmt.Sprintf("%s, last %s, %s", r.At.UTC().Format("2006-01-02 15:04:05 UTC"),
 		window(r.WindowS), plural(r.Instances, "instance"))
@@ -104,6 +105,7 @@
 	return fmt.Sprintf("%d %ss", n, noun)
 }
 
+// isAre returns n and the noun, followed by "is" or "are".
 func isAre(n int, noun string) string {
 	if n == 1 {
 		return "1 " + noun + " is"
@@ -111,7 +113,7 @@
 	return fmt.Sprintf("%d %ss are", n, noun)
 }
 
-// window shows a number of seconds as "5m", "1h" or "1h30m".
+// window formats a number of seconds as "5m", "1h" or "1h30m".
 func window(seconds float64) string {
 	d := time.Duration(seconds * float64(time.Second)).Round(time.Second)
 	var out strings.Builder
@@ -130,8 +132,8 @@
 	return out.String()
 }
 
-// share shows a share as a percentage. It never rounds up to 100 %: one miss
-// in a million is no full attainment.
+// share formats a share as a percentage with up to two decimals. It never rounds
+// up to 100 %: with one miss in a million, attainment is below 100 %.
 func share(v float64) string {
 	percent := v * 100
 	text := strconv.FormatFloat(percent, 'f', 2, 64)
@@ -141,7 +143,7 @@
 	return trimZeros(text) + "%"
 }
 
-// rounded shows a share as a percentage where two digits are enough.
+// rounded formats a share as a percentage with about two digits.
 func rounded(v float64) string {
 	percent := v * 100
 	switch {
@@ -162,8 +164,9 @@
 	return strings.TrimRight(strings.TrimRight(text, "0"), ".")
 }
 
-// times shows a duration given in milliseconds, "-" for none.
-func times(ms float64) string {
+// formatMilliseconds formats a duration given in milliseconds, "-" if it is 0
+// or less.
+func formatMilliseconds(ms float64) string {
 	switch {
 	case ms <= 0:
 		return "-"
@@ -175,8 +178,8 @@
 	return strconv.FormatFloat(ms/1000, 'f', 2, 64) + " s"
 }
 
-// factor shows a burn rate.
-func factor(v float64) string {
+// formatBurn formats a burn rate.
+func formatBurn(v float64) string {
 	switch {
 	case v == 0:
 		return "0"
@@ -188,7 +191,7 @@
 	return strconv.FormatFloat(v, 'f', 2, 64)
 }
 
-// count shows a number with a thin group mark.
+// count formats a number with commas between groups of three digits.
 func count(n uint64) string {
 	digits := strconv.FormatUint(n, 10)
 	var out strings.Builder
@@ -201,7 +204,7 @@
 	return out.String()
 }
 
-// amount shows a cost with about three digits.
+// amount formats a cost with about three digits.
 func amount(v float64) string {
 	switch {
 	case v == 0:
@@ -218,7 +221,7 @@
 	return strconv.FormatFloat(v, 'g', 2, 64)
 }
 
-// stageName names the stage of a cause.
+// stageName returns the stage of a cause as it is shown to operators.
 func stageName(c lynxapi.BurnCause) string {
 	if c.Stage == "" {
 		return "(before any stage)"
@@ -233,7 +236,7 @@
 	return c.Target
 }
 
-// missedOf returns the misses of a row.
+// missedOf returns the number of missed requests of a row.
 func missedOf(row lynxapi.BurnRow) uint64 { return row.Total - row.Attained }
 
 func perCall(c lynxapi.CostRow) float64 {
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -21,7 +21,7 @@
 	"lynxhill.example/lynxhill/internal/wire/lynxapi"
 )
 
-// load is the traffic of one profile in the sample.
+// load is the traffic of one profile in the sample report.
 type load struct {
 	name      string
 	objective float64
@@ -29,7 +29,7 @@
 	missShare float64
 	stages    []string
 	lastPrice float64
-	badFrom   int // minutes in which targets fail
+	badFrom   int // first minute in which requests fail more often
 	badTo     int
 }
 
@@ -40,7 +40,8 @@
 	{"insertion-order-read", 0.99, 15, 0.001, []string{"embed", "similar-orders", "rank-orders", "read", "line-items", "sum-up"}, 0.9, 0, 0},
 }
 
-// sampleReport observes an hour of traffic in virtual time.
+// sampleReport returns the report after the given minutes of traffic in virtual
+// time.
 func sampleReport(t *testing.T, minutes int) lynxapi.BurnReport {
 	t.Helper()
 	var report lynxapi.BurnReport
@@ -98,12 +99,13 @@
 		missShare = 0.05
 	}
 	if rng.Float64() < missShare {
-		spoil(rng, &s)
+		makeMiss(rng, &s)
 	}
 	return s
 }
 
-func spoil(rng *rand.Rand, s *slo.Sample) {
+// makeMiss turns the sample into a miss: rejected, late or failed.
+func makeMiss(rng *rand.Rand, s *slo.Sample) {
 	s.Attained = false
 	last := &s.Stages[len(s.Stages)-1]
 	switch rng.IntN(4) {
@@ -137,7 +139,7 @@
 	return out.String()
 }
 
-func TestPageHoldsEverythingAndNeedsNothing(t *testing.T) {
+func TestPageIsCompleteAndSelfContained(t *testing.T) {
 	page := pageOf(t, sampleReport(t, 60))
 	for _, l := range loads {
 		if !strings.Contains(page, l.name) {
@@ -153,20 +155,20 @@
 			t.Errorf("the page has %s", foreign)
 		}
 	}
-	for _, variable := range inkVariables {
+	for _, variable := range cssVariables {
 		if !strings.Contains(page, variable+":") {
 			t.Errorf("no colour for %s", variable)
 		}
 	}
 	if left := regexp.MustCompile(`#0A00[0-9A-F]{2}`).FindString(page); left != "" {
-		t.Errorf("stand-in colour %s is left", left)
+		t.Errorf("placeholder colour %s was not replaced", left)
 	}
 	if black := regexp.MustCompile(`(fill|stroke):#000`).FindString(page); black != "" {
 		t.Error("a plot draws in black, which dark pages do not show")
 	}
 }
 
-func TestQuietReportSaysSo(t *testing.T) {
+func TestNoBurnPlotWithoutMisses(t *testing.T) {
 	row := lynxapi.BurnRow{Scope: slo.ScopeProfile, Name: "p", Total: 9, Attained: 9, Attainment: 1, Objective: 0.99, BudgetLeft: 1}
 	page := pageOf(t, lynxapi.BurnReport{Rows: []lynxapi.BurnRow{row}, LongS: 3600})
 	if !strings.Contains(page, "No profile missed a request in the last 1h.") || strings.Contains(page, "<svg") {
@@ -190,8 +192,8 @@
 	}
 }
 
-// Symptom: opening a report ran a script. Events: an organisation and a target
-// had markup in their names. Cause: a name was written into the page as it was.
+// Guards against script injection: names of organisations and targets that
+// contain markup must be escaped in the page.
 func TestNamesAreEscaped(t *testing.T) {
 	const evil = `<script>alert("x")</script>&`
 	r := sampleReport(t, 3)
@@ -220,7 +222,7 @@
 	for name, r := range map[string]lynxapi.BurnReport{"empty": empty, "one request": one, "only excluded": excluded, "no cost": free} {
 		t.Run(name, func(t *testing.T) {
 			if page := pageOf(t, r); !strings.Contains(page, "</html>") {
-				t.Fatal("the page is cut")
+				t.Fatal("the page is truncated")
 			}
 			if textOf(t, r) == "" {
 				t.Fatal("no text")
@@ -229,7 +231,7 @@
 	}
 }
 
-func TestTextSaysWhatIsWrong(t *testing.T) {
+func TestTextNamesMissesAndCauses(t *testing.T) {
 	text := textOf(t, sampleReport(t, 60))
 	for _, want := range []string{"2 of 4 profiles missed the objective.", "7 instances; no answer from 1: lh-8", "BURN 5m/1h",
 		"lynx-pool-7", "target_failed", "late", "COST BY STAGE", "agency-1"} {
@@ -239,14 +241,14 @@
 	}
 }
 
-func TestWhatNeedsALookComesFirst(t *testing.T) {
+func TestWorstProfilesComeFirst(t *testing.T) {
 	r := sampleReport(t, 60)
 	for name, shown := range map[string]string{"text": textOf(t, r), "page": pageOf(t, r)} {
 		last := -1
 		for _, profile := range []string{"booking", "trafficking-note", "creative-check"} {
 			at := strings.Index(shown, profile)
 			if at <= last {
-				t.Errorf("%s: %s stands at %d, before the one that is worse", name, profile, at)
+				t.Errorf("%s: %s is at %d, before a profile with a worse status", name, profile, at)
 			}
 			last = at
 		}
@@ -257,7 +259,7 @@
 	cases := [][2]string{
 		{window(300), "5m"}, {window(3600), "1h"}, {window(5400), "1h30m"}, {window(10), "10s"}, {window(0), "0s"},
 		{share(0.9999999), "99.99%"}, {share(1), "100%"}, {share(0.995), "99.5%"}, {share(0), "0%"}, {share(0.5), "50%"},
-		{count(1234567), "1,234,567"}, {count(12), "12"}, {times(0), "-"}, {times(3.14), "3.1 ms"}, {times(2500), "2.50 s"},
+		{count(1234567), "1,234,567"}, {count(12), "12"}, {formatMilliseconds(0), "-"}, {formatMilliseconds(3.14), "3.1 ms"}, {formatMilliseconds(2500), "2.50 s"},
 		{budget(-2.5), "spent 3.50x"}, {bar(0.5), "#####....."}, {bar(-1), ".........."}, {amount(1234.4), "1,234"},
 	}
 	for _, c := range cases {
--- a/internal/report/text.go
+++ b/internal/report/text.go
@@ -10,7 +10,7 @@
 	"lynxhill.example/lynxhill/internal/wire/lynxapi"
 )
 
-// Layout of the text.
+// Layout of the text, in characters.
 const (
 	columnGap = 2
 	barWidth  = 10
@@ -29,7 +29,8 @@
 	return t.err
 }
 
-// textReport remembers the first error of its writer.
+// textReport writes a report as text. It keeps the first error of its writer and
+// writes nothing after it.
 type textReport struct {
 	out    io.Writer
 	report lynxapi.BurnReport
@@ -80,20 +81,21 @@
 		return cells(row.Name, "-", "-", "0", "0", "-", "-", "-", "-", "-", "-")
 	}
 	return cells(row.Name, share(row.Attainment), share(row.Objective), count(row.Total), count(missedOf(row)),
-		bar(row.BudgetLeft)+" "+budget(row.BudgetLeft), factor(row.BurnShort)+" / "+factor(row.BurnLong),
-		times(row.P50MS), times(row.P95MS), times(row.P99MS), times(row.FirstP95MS))
+		bar(row.BudgetLeft)+" "+budget(row.BudgetLeft), formatBurn(row.BurnShort)+" / "+formatBurn(row.BurnLong),
+		formatMilliseconds(row.P50MS), formatMilliseconds(row.P95MS), formatMilliseconds(row.P99MS), formatMilliseconds(row.FirstP95MS))
 }
 
-// bar draws what is left of a budget.
+// bar draws the remaining share of a budget as a bar.
 func bar(left float64) string {
 	filled := int(max(0, min(left, 1))*barWidth + 0.5)
 	return strings.Repeat("#", filled) + strings.Repeat(".", barWidth-filled)
 }
 
-// budget says what is left of a budget, or how often it is overspent.
+// budget formats the remaining share of a budget, or how many times over it is
+// spent.
 func budget(left float64) string {
 	if left < 0 {
-		return fmt.Sprintf("spent %sx", factor(1-left))
+		return fmt.Sprintf("spent %sx", formatBurn(1-left))
 	}
 	return rounded(left)
 }
@@ -130,7 +132,7 @@
 	for _, c := range t.report.Costs {
 		total += c.Cost
 		lines = append(lines, cells(c.Profile, c.Stage, c.Provider, count(c.Calls), amount(c.Cost), amount(perCall(c)),
-			rounded(wastedShare(c)), count(c.Tokens), times(c.MeanMS)))
+			rounded(wastedShare(c)), count(c.Tokens), formatMilliseconds(c.MeanMS)))
 	}
 	t.table(append(lines, cells("all", "", "", "", amount(total))))
 }
--- a/internal/report/timeplot.go
+++ b/internal/report/timeplot.go
@@ -16,9 +16,9 @@
 
 // Layout of the plot of attainment over time.
 const (
-	timePoints   = 48   // most points that are drawn; more are added up
-	timeTicks    = 4    // about as many times are written
-	attainMargin = 0.25 // of the shown range, below the lowest value
+	timePoints   = 48   // maximum number of points drawn; longer series are coarsened
+	timeTicks    = 4    // approximate maximum number of time labels
+	attainMargin = 0.25 // margin below the lowest value, as a share of the range from it to 1
 )
 
 // attainmentPlot draws a profile's attainment over time against its objective.
@@ -39,7 +39,7 @@
 	p.X.Tick.Marker = timeTicksOf{first: points[0].at, last: points[len(points)-1].at}
 	p.Add(objectiveLine(p.X.Min, p.X.Max, row.Objective))
 	for _, run := range runs(points, step) {
-		if err := addRun(p, run, statusOf(row).ink()); err != nil {
+		if err := addRun(p, run, statusOf(row).colourRole()); err != nil {
 			return "", err
 		}
 	}
@@ -47,17 +47,17 @@
 	return svg(p, cardWidth, cardHeight, description)
 }
 
-// attained is one drawn point.
+// attained is one point of the plot.
 type attained struct {
-	at    time.Time
-	total uint64
-	good  uint64
+	at       time.Time
+	total    uint64
+	attained uint64
 }
 
-func (a attained) share() float64 { return float64(a.good) / float64(a.total) }
+func (a attained) share() float64 { return float64(a.attained) / float64(a.total) }
 
-// coarsen adds points up until few enough are left, and drops those without
-// requests.
+// coarsen adds up adjacent points so that at most timePoints steps remain, and
+// drops points without requests.
 func coarsen(series lynxapi.BurnSeries) []attained {
 	if len(series.Points) == 0 {
 		return nil
@@ -79,13 +79,13 @@
 		}
 		last := &points[len(points)-1]
 		last.total += p.Total
-		last.good += p.Attained
+		last.attained += p.Attained
 	}
 	return points
 }
 
-// runs splits points where no request came for several steps, so that no line
-// is drawn over what was not measured.
+// runs splits the points at gaps of several steps without requests, so that no
+// line is drawn across time that was not measured.
 func runs(points []attained, step time.Duration) [][]attained {
 	const gap = 4
 	var all [][]attained
@@ -99,7 +99,7 @@
 	return all
 }
 
-func addRun(p *plot.Plot, run []attained, colour ink) error {
+func addRun(p *plot.Plot, run []attained, colour colourRole) error {
 	values := make(plotter.XYs, len(run))
 	for i, a := range run {
 		values[i] = plotter.XY{X: seconds(a.at), Y: a.share()}
@@ -125,12 +125,12 @@
 func objectiveLine(from, to, objective float64) *plotter.Line {
 	return &plotter.Line{
 		XYs:       plotter.XYs{{X: from, Y: objective}, {X: to, Y: objective}},
-		LineStyle: draw.LineStyle{Color: inkText.color(), Width: thinLine * 1.5, Dashes: []vg.Length{4, 3}},
+		LineStyle: draw.LineStyle{Color: roleText.color(), Width: thinLine * 1.5, Dashes: []vg.Length{4, 3}},
 	}
 }
 
-// lowestShown chooses the bottom of the axis: everything is shown, and the
-// objective never lies on the edge.
+// lowestShown returns the lower end of the axis. It is below all points and the
+// objective, or 0.
 func lowestShown(points []attained, objective float64) float64 {
 	low := objective
 	for _, a := range points {
@@ -139,8 +139,8 @@
 	return max(0, low-(1-low)*attainMargin)
 }
 
-// attainmentTicks writes the objective, 100 % and the bottom where there is
-// room.
+// attainmentTicks labels the objective, and 100 % and the lower end of the axis
+// if there is room.
 type attainmentTicks struct {
 	low       float64
 	objective float64
@@ -148,7 +148,7 @@
 
 // Ticks implements plot.Ticker.
 func (t attainmentTicks) Ticks(_, _ float64) []plot.Tick {
-	const room = 0.2 // of the axis, that a written value needs
+	const room = 0.2 // share of the axis that a label needs
 	ticks := []plot.Tick{{Value: t.objective, Label: share(t.objective)}}
 	scale := 1 - t.low
 	if 1-t.objective > room*scale {
@@ -167,10 +167,10 @@
 	return fmt.Sprintf("%.3g%%", v*100)
 }
 
-// timeTicksOf writes a few round times.
+// timeTicksOf labels a few round times between first and last.
 type timeTicksOf struct{ first, last time.Time }
 
-// tickSteps are the distances between times that readers find round.
+// tickSteps are the possible distances between time labels.
 var tickSteps = []time.Duration{
 	time.Second, 2 * time.Second, 5 * time.Second, 10 * time.Second, 15 * time.Second, 30 * time.Second,
 	time.Minute, 2 * time.Minute, 5 * time.Minute, 10 * time.Minute, 15 * time.Minute, 30 * time.Minute, time.Hour,
