--- a/internal/invariant/production.go
+++ b/internal/invariant/production.go
@@ -11,7 +11,7 @@
 	"lynxhill.example/lynxhill/internal/metrics"
 )
 
-var metricViolations = metrics.Define("invariant_violations_total", "violations", "Violations of invariants by rule. Each is a defect.")
+var metricViolations = metrics.Define("invariant_violations_total", "violations", "Broken invariants by rule. Any is a defect.")
 
 // logInterval is the minimum time between two log events of the same rule.
 // Without it, a defect on the request path would log one line per request.
--- a/internal/slo/slo.go
+++ b/internal/slo/slo.go
@@ -42,10 +42,10 @@
 var (
 	metricRequests = metrics.Define("slo_requests_total", "requests", "Requests that count against an objective.")
 	metricMissed   = metrics.Define("slo_missed_total", "requests", "Requests that failed or were answered after their deadline.")
-	metricExcluded = metrics.Define("slo_excluded_total", "requests", "Failed requests that do not count against an objective because the caller caused the failure.")
+	metricExcluded = metrics.Define("slo_excluded_total", "requests", "Failed requests that count against no objective, being the caller's own doing.")
 	metricFolded   = metrics.Define("slo_organisations_folded_total", "organisations", "Times an organisation's counts were folded into \"other\" to bound memory.")
-	metricDropped  = metrics.Define("slo_fleet_rows_dropped_total", "rows", "Rows from other instances that were dropped because the table was full.")
-	metricFleet    = metrics.Define("slo_fleet_attainment", "share by profile", "Attainment of the whole fleet over the long window, computed from heartbeats.")
+	metricDropped  = metrics.Define("slo_fleet_rows_dropped_total", "rows", "Rows of other instances that were ignored because the table was full.")
+	metricFleet    = metrics.Define("slo_fleet_attainment", "share by profile", "Attainment of the whole fleet over the long window, as told by heartbeats.")
 )
 
 // Windows are the two windows over which the burn rate is computed.
