--- a/internal/callerapi/bench_test.go
+++ b/internal/callerapi/bench_test.go
@@ -12,10 +12,10 @@
 	"lynxhill.example/lynxhill/internal/pipeline"
 )
 
-// benchmark measures the edge alone, without sockets: routing, token, body,
-// checks and answer.
+// benchmark measures the HTTP handler alone, without sockets: routing,
+// authentication, reading and validating the body, and writing the answer.
 func benchmark(b *testing.B, serve serveFunc, body string) {
-	handler, token := newEdge(b, fakeHandler{serve: serve}, Limits{}, metrics.NewRegistry())
+	handler, token := newHandler(b, fakeHandler{serve: serve}, Limits{}, metrics.NewRegistry())
 	b.ReportAllocs()
 	for b.Loop() {
 		req := httptest.NewRequest(http.MethodPost, "/v1/profiles/check/requests", strings.NewReader(body))
@@ -33,13 +33,14 @@
 	benchmark(b, echo, `{"organisation":"acme","key":"k","input":"`+strings.Repeat("x", 1024)+`"}`)
 }
 
-// frames is the number of frames of a streamed answer: 1.1 million tokens and
-// 3,800 requests a second are about 290 tokens a request.
-const frames = 290
+// framesPerAnswer is the number of frames in a streamed answer, one per token:
+// 1.1 million tokens and 3,800 requests per second are about 290 tokens per
+// request.
+const framesPerAnswer = 290
 
 func BenchmarkStreamOf290Frames(b *testing.B) {
 	benchmark(b, func(_ context.Context, _ pipeline.Request, sink pipeline.Sink) (pipeline.Outcome, error) {
-		for i := range frames {
+		for i := range framesPerAnswer {
 			if err := sink.Frame(i*5, "token"); err != nil {
 				return pipeline.Outcome{}, err
 			}
--- a/internal/callerapi/callerapi.go
+++ b/internal/callerapi/callerapi.go
@@ -1,7 +1,8 @@
-// Package callerapi is the HTTP edge towards callers: the address answer,
-// requests to profiles, answered whole or as server-sent events, and the
-// outcome of a key. It checks what arrives, gives each request an id, and
-// answers every error with its row of the table of error kinds.
+// Package callerapi implements the HTTP API for callers: instance discovery,
+// requests to profiles (answered as one JSON object or as server-sent events)
+// and the lookup of a request's outcome by its idempotency key. It validates
+// requests, assigns each one an id, and answers every error as the table of
+// error kinds (package errkind) specifies.
 package callerapi
 
 import (
@@ -24,39 +25,41 @@
 	"lynxhill.example/lynxhill/internal/wire/lynxapi"
 )
 
-// Handler is what the instance does with a checked request.
+// Handler executes validated requests. The instance implements it.
 type Handler interface {
 	// Serve runs the request and returns its outcome, or an error with a kind.
-	// A zero Deadline of req means the profile's. The sink's methods must be
-	// called from one goroutine, and not after Serve has returned. When the
-	// caller goes away, ctx ends.
+	// If req.Deadline is zero, the profile's deadline applies. The sink's
+	// methods must be called from one goroutine, and not after Serve has
+	// returned. ctx is cancelled when the caller disconnects.
 	Serve(ctx context.Context, req pipeline.Request, sink pipeline.Sink) (pipeline.Outcome, error)
-	// Outcome tells what became of a key.
+	// Outcome returns the recorded outcome of the request with an idempotency key.
 	Outcome(ctx context.Context, key outcome.Key) (lynxapi.OutcomeReply, error)
-	// Address tells which instances to use.
+	// Address returns the instances that the caller should use.
 	Address(ctx context.Context, question AddressQuestion) (lynxapi.AddressAnswer, error)
-	// Ready returns nil if the instance takes new requests, else the reason.
+	// Ready returns nil if the instance accepts new requests, otherwise an
+	// error with the reason.
 	Ready() error
 }
 
-// AddressQuestion is what the caller tells of itself; Place and Region may be
-// empty.
+// AddressQuestion holds what the caller states about itself in a discovery
+// request. Place (its availability zone) and Region may be empty.
 type AddressQuestion struct {
 	Place        string
 	Region       string
 	Organisation string
 }
 
-// Limits bound one request and all of them together.
+// Limits bounds the size and duration of each request and the number of
+// concurrent requests.
 type Limits struct {
 	MaxBody      int64         // bytes; 0 = 1 MiB
-	MaxAnswer    int64         // bytes of a whole answer; 0 = 4 MiB
-	MaxInFlight  int64         // requests at once; 0 = 4096
-	BodyTimeout  time.Duration // for the whole body to arrive; 0 = 10 s
-	WriteTimeout time.Duration // for the caller to take one piece; 0 = 10 s
+	MaxAnswer    int64         // bytes of a complete answer; 0 = 4 MiB
+	MaxInFlight  int64         // concurrent requests; 0 = 4096
+	BodyTimeout  time.Duration // to read the whole request body; 0 = 10 s
+	WriteTimeout time.Duration // to write one server-sent event or one error answer of a stream; 0 = 10 s
 }
 
-// Defaults of Limits and Options.
+// Default values of Limits and Options.
 const (
 	defaultMaxBody        = 1 << 20
 	defaultMaxAnswer      = 4 << 20
@@ -73,13 +76,13 @@
 	return l
 }
 
-// Options of New.
+// Options configures New.
 type Options struct {
 	Handler        Handler
 	Auth           *auth.Verifier
 	Limits         Limits
 	Clock          clock.Clock   // nil = real time
-	HeartbeatEvery time.Duration // to a caller that waits for a stream; 0 = 1 s
+	HeartbeatEvery time.Duration // interval of the heartbeat events of a stream; 0 = 1 s
 	Self           string        // id of this instance
 	Logger         *event.Logger
 	Metrics        *metrics.Registry
@@ -94,7 +97,7 @@
 	metricGone       = metrics.Define("caller_gone_total", "requests", "Streams that ended because the caller took no more or went away.")
 )
 
-// api holds what all calls share.
+// api holds the state that all requests share.
 type api struct {
 	opts     Options
 	inFlight atomic.Int64
@@ -128,7 +131,7 @@
 	}
 }
 
-// address answers which instances to use.
+// address answers a discovery request with the instances to use.
 func (a *api) address(w http.ResponseWriter, r *http.Request) {
 	organisation, err := a.organisation(r, r.URL.Query().Get("organisation"))
 	if err != nil {
@@ -147,7 +150,7 @@
 	httpserver.WriteJSON(w, http.StatusOK, answer)
 }
 
-// outcome answers what became of a key.
+// outcome answers with the recorded outcome of the request with a key.
 func (a *api) outcome(w http.ResponseWriter, r *http.Request) {
 	organisation, err := a.organisation(r, r.URL.Query().Get("organisation"))
 	if err != nil {
@@ -163,8 +166,8 @@
 	httpserver.WriteJSON(w, http.StatusOK, reply)
 }
 
-// organisation returns the organisation of the caller's token. One that the
-// caller names must be the same.
+// organisation returns the organisation that the caller's token belongs to. If
+// the caller names an organisation, it must be the same one.
 func (a *api) organisation(r *http.Request, named string) (string, error) {
 	own, err := a.opts.Auth.Caller(r.Header.Get("Authorization"))
 	if err != nil {
@@ -192,21 +195,21 @@
 	httpserver.WriteJSON(w, http.StatusOK, struct{}{})
 }
 
-// fail logs and counts an error and answers with it. Of req only what is known
-// is set.
+// fail logs and counts an error and answers with it. Only the fields of req
+// that are already known are set.
 func (a *api) fail(w http.ResponseWriter, err error, req pipeline.Request) {
-	a.note(err, req)
+	a.recordError(err, req)
 	httpserver.WriteError(w, err, req.ID)
 }
 
-// note logs and counts an error that the caller is told.
-func (a *api) note(err error, req pipeline.Request) {
+// recordError logs and counts the error that a request ended with.
+func (a *api) recordError(err error, req pipeline.Request) {
 	answer := errkind.Of(err).Answer()
 	a.opts.Metrics.Labelled(metricAnswers).Add(answer.Name, 1)
 	pairs := []any{"request", req.ID, "organisation", req.Organisation, "profile", req.Profile}
 	if answer.Status >= http.StatusInternalServerError {
-		// The text of a caller's own mistake may quote its input, so that
-		// only these are logged with it.
+		// Only server errors are logged with their text: the text of a
+		// caller's mistake may quote the caller's input.
 		pairs = append(pairs, "error", err)
 	}
 	a.opts.Logger.Log(event.ID(answer.Event), pairs...)
--- a/internal/callerapi/callerapi_test.go
+++ b/internal/callerapi/callerapi_test.go
@@ -56,7 +56,7 @@
 	}{
 		{"malformed", `{"organisation":`, errkind.BadRequest},
 		{"empty", ``, errkind.BadRequest},
-		{"no object", `[1]`, errkind.BadRequest},
+		{"not an object", `[1]`, errkind.BadRequest},
 		{"unknown field", `{"organisation":"acme","input":1,"priority":9}`, errkind.BadRequest},
 		{"wrong type", `{"organisation":"acme","input":1,"deadline_ms":"1s"}`, errkind.BadRequest},
 		{"two values", `{"organisation":"acme","input":1} {}`, errkind.BadRequest},
@@ -64,11 +64,11 @@
 		{"other organisation", `{"organisation":"other","input":1}`, errkind.Forbidden},
 		{"past deadline", `{"organisation":"acme","input":1,"deadline_at":1000}`, errkind.DeadlinePast},
 		{"negative deadline", `{"organisation":"acme","input":1,"deadline_ms":-1}`, errkind.DeadlinePast},
-		{"endless deadline", `{"organisation":"acme","input":1,"deadline_ms":9223372036854775807}`, errkind.BadRequest},
+		{"deadline too far away", `{"organisation":"acme","input":1,"deadline_ms":9223372036854775807}`, errkind.BadRequest},
 		{"no input", `{"organisation":"acme"}`, errkind.BadRequest},
 		{"null input", `{"organisation":"acme","input":null}`, errkind.BadRequest},
 		{"control character", `{"organisation":"acme","input":1,"key":"a\nb"}`, errkind.BadRequest},
-		{"key that no path can carry", `{"organisation":"acme","input":1,"key":".."}`, errkind.BadRequest},
+		{"key that is a path element", `{"organisation":"acme","input":1,"key":".."}`, errkind.BadRequest},
 		{"too large", `{"organisation":"acme","input":"` + strings.Repeat("x", 300) + `"}`, errkind.TooLarge},
 		{"unknown profile", `{"organisation":"acme","input":1}`, errkind.UnknownProfile},
 		{"unknown profile, streamed", `{"organisation":"acme","input":1,"stream":true}`, errkind.UnknownProfile},
@@ -79,13 +79,13 @@
 		})
 	}
 	t.Run("no token", func(t *testing.T) {
-		stranger := *c
-		stranger.token = "wrong"
-		checkError(t, stranger.send(`{"organisation":"acme","input":1}`), errkind.Unauthenticated)
+		unauthenticated := *c
+		unauthenticated.token = "wrong"
+		checkError(t, unauthenticated.send(`{"organisation":"acme","input":1}`), errkind.Unauthenticated)
 	})
-	t.Run("no path", func(t *testing.T) { checkError(t, c.do("GET", "/nowhere", ""), errkind.NotFound) })
+	t.Run("unknown path", func(t *testing.T) { checkError(t, c.do("GET", "/nowhere", ""), errkind.NotFound) })
 	t.Run("wrong method", func(t *testing.T) { checkError(t, c.do("PUT", "/v1/address", ""), errkind.NotFound) })
-	t.Run("address of another", func(t *testing.T) {
+	t.Run("address of another organisation", func(t *testing.T) {
 		checkError(t, c.do("GET", "/v1/address?organisation=other", ""), errkind.Forbidden)
 	})
 }
@@ -163,7 +163,7 @@
 	return strings.Join(all, " ")
 }
 
-// streamTwo delivers two frames and ends with err.
+// streamTwo returns a serveFunc that sends two frames and then returns err.
 func streamTwo(err error) serveFunc {
 	return func(_ context.Context, req pipeline.Request, sink pipeline.Sink) (pipeline.Outcome, error) {
 		for i, text := range []string{"ab", "cd"} {
--- a/internal/callerapi/harness_test.go
+++ b/internal/callerapi/harness_test.go
@@ -20,7 +20,7 @@
 
 type serveFunc func(context.Context, pipeline.Request, pipeline.Sink) (pipeline.Outcome, error)
 
-// fakeHandler runs serve for every request.
+// fakeHandler is a Handler that calls serve for every request.
 type fakeHandler struct {
 	serve serveFunc
 	ready error
@@ -40,14 +40,14 @@
 
 func (f fakeHandler) Ready() error { return f.ready }
 
-// echo answers with the input.
+// echo is a serveFunc that answers with the request's input.
 func echo(_ context.Context, req pipeline.Request, _ pipeline.Sink) (pipeline.Outcome, error) {
 	return pipeline.Outcome{RequestID: req.ID, Version: 7, Output: req.Input}, nil
 }
 
-// newEdge returns the handler of the caller listener, with a token of the
+// newHandler returns the HTTP handler under test and a caller token of the
 // organisation acme.
-func newEdge(t testing.TB, h fakeHandler, limits Limits, registry *metrics.Registry) (handler http.Handler, token string) {
+func newHandler(t testing.TB, h fakeHandler, limits Limits, registry *metrics.Registry) (handler http.Handler, token string) {
 	t.Helper()
 	token, hash := auth.NewToken()
 	verifier, err := auth.New(auth.Options{Tokens: auth.Tokens{Caller: []auth.CallerToken{{Hash: hash, Organisation: "acme"}}}})
@@ -61,8 +61,8 @@
 	return handler, token
 }
 
-// instance is an instance with a caller, joined by connections without any
-// buffer.
+// instance is a server for the handler under test together with an HTTP client,
+// connected by unbuffered in-memory connections.
 type instance struct {
 	t        *testing.T
 	listener *memnet.Listener
@@ -75,7 +75,7 @@
 func newInstance(t *testing.T, h fakeHandler, limits Limits, http2 bool) *instance {
 	t.Helper()
 	v := &instance{t: t, listener: memnet.Listen(), registry: metrics.NewRegistry()}
-	handler, token := newEdge(t, h, limits, v.registry)
+	handler, token := newHandler(t, h, limits, v.registry)
 	v.token = token
 	v.server = httpserver.New(httpserver.Options{Name: "caller", Listener: v.listener, Handler: handler})
 	protocols := new(http.Protocols)
@@ -91,7 +91,7 @@
 	v.client.CloseIdleConnections()
 }
 
-// answer is an answer, read to the end.
+// answer is an HTTP response whose body has been read completely.
 type answer struct {
 	status int
 	header http.Header
@@ -122,8 +122,8 @@
 	return v.do(http.MethodPost, "/v1/profiles/check/requests", body)
 }
 
-// dial sends the head of a request and its body over a connection of its own
-// and reads nothing. The length announced may be more than the body.
+// dial sends a request over a new connection and does not read the response.
+// length is the Content-Length to announce; it may exceed the length of body.
 func (v *instance) dial(body string, length int) net.Conn {
 	v.t.Helper()
 	conn, err := v.listener.Dial(v.t.Context(), "", "")
--- a/internal/callerapi/parse.go
+++ b/internal/callerapi/parse.go
@@ -13,7 +13,7 @@
 	"lynxhill.example/lynxhill/internal/wire/lynxapi"
 )
 
-// Bounds of the fields of a request.
+// Limits of the fields of a request.
 const (
 	maxKeyLength    = 256  // bytes of an idempotency key
 	maxPrefixLength = 1024 // bytes of a prefix name
@@ -21,32 +21,33 @@
 	maxDeadline     = 24 * time.Hour
 )
 
-// parseBody decodes a body strictly: one JSON object, no unknown field.
+// parseBody decodes a request body strictly: it must be one JSON object without
+// unknown fields.
 func parseBody(body []byte) (lynxapi.SendRequest, error) {
 	var req lynxapi.SendRequest
 	err := httpserver.DecodeJSON(body, &req)
 	return req, err
 }
 
-// check checks the fields of a body that came from a caller of the
-// organisation own, and turns it into a pipeline request.
-func check(req lynxapi.SendRequest, own, profileName string, now time.Time) (pipeline.Request, error) {
+// validate checks the fields of a request body and converts it to a pipeline
+// request. callerOrganisation is the organisation of the caller's token.
+func validate(req lynxapi.SendRequest, callerOrganisation, profileName string, now time.Time) (pipeline.Request, error) {
 	if req.Organisation == "" {
 		return pipeline.Request{}, errkind.New(errkind.NoOrganisation, "the field organisation is missing")
 	}
-	if req.Organisation != own {
+	if req.Organisation != callerOrganisation {
 		return pipeline.Request{}, errOtherOrganisation()
 	}
-	if err := checkText("key", req.Key, maxKeyLength); err != nil {
+	if err := validateText("key", req.Key, maxKeyLength); err != nil {
 		return pipeline.Request{}, err
 	}
 	if req.Key == "." || req.Key == ".." {
 		return pipeline.Request{}, errkind.New(errkind.BadRequest, "the field key is a path element; no outcome could be asked for")
 	}
-	if err := checkText("prefix", req.Prefix, maxPrefixLength); err != nil {
+	if err := validateText("prefix", req.Prefix, maxPrefixLength); err != nil {
 		return pipeline.Request{}, err
 	}
-	if err := checkText("ticket", req.Ticket, maxTicketLength); err != nil {
+	if err := validateText("ticket", req.Ticket, maxTicketLength); err != nil {
 		return pipeline.Request{}, err
 	}
 	deadline, err := deadlineOf(req, now)
@@ -69,11 +70,11 @@
 	}, nil
 }
 
-// checkText refuses text of a caller that is too long or holds control characters, which
-// would break log lines and paths.
-func checkText(field, value string, most int) error {
-	if len(value) > most {
-		return errkind.New(errkind.BadRequest, "the field %s is longer than %d bytes", field, most)
+// validateText returns an error for a text field that is too long or contains
+// control characters, which would corrupt log lines and paths.
+func validateText(field, value string, maxLength int) error {
+	if len(value) > maxLength {
+		return errkind.New(errkind.BadRequest, "the field %s is longer than %d bytes", field, maxLength)
 	}
 	if strings.ContainsFunc(value, unicode.IsControl) {
 		return errkind.New(errkind.BadRequest, "the field %s holds control characters", field)
@@ -81,8 +82,8 @@
 	return nil
 }
 
-// deadlineOf returns the earlier of the two deadlines of a request, zero if it
-// names none.
+// deadlineOf returns the earlier of the request's deadlines DeadlineMS and
+// DeadlineAt, or the zero time if the request sets neither.
 func deadlineOf(req lynxapi.SendRequest, now time.Time) (time.Time, error) {
 	var deadline time.Time
 	switch {
@@ -106,7 +107,8 @@
 	return deadline, nil
 }
 
-// newID returns a UUID of version 7, which carries its time.
+// newID returns a request id: a UUID of version 7, which contains its time of
+// creation.
 func newID() (string, error) {
 	id, err := uuid.NewV7()
 	if err != nil {
--- a/internal/callerapi/parse_test.go
+++ b/internal/callerapi/parse_test.go
@@ -25,8 +25,9 @@
 	}
 }
 
-// FuzzBody holds the parser to its promises: an error has a kind that says
-// not_run, and what is accepted keeps the rules of check.
+// FuzzBody checks that every error of parseBody and validate has a kind with
+// run state not_run, and that an accepted request satisfies the rules of
+// validate.
 func FuzzBody(f *testing.F) {
 	f.Add([]byte(`{"organisation":"acme","input":{"a":1},"key":"k","deadline_ms":5,"stream":true}`))
 	f.Add([]byte(`{"organisation":"acme","input":null}`))
@@ -37,7 +38,7 @@
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		body, err := parseBody(raw)
 		if err == nil {
-			req, checkErr := check(body, "acme", "p", now)
+			req, checkErr := validate(body, "acme", "p", now)
 			if err = checkErr; err == nil {
 				if req.Organisation != "acme" || !json.Valid(req.Input) || len(req.Key) > maxKeyLength {
 					t.Fatalf("accepted %+v", req)
--- a/internal/callerapi/send.go
+++ b/internal/callerapi/send.go
@@ -44,15 +44,15 @@
 		a.stream(w, r, req)
 		return
 	}
-	a.whole(w, r, req)
+	a.answerWhole(w, r, req)
 }
 
-// accept reads and checks a request. With an error, req holds what is known
-// for the log.
+// accept reads and validates a request. If it returns an error, req holds the
+// fields known so far, for the log.
 func (a *api) accept(w http.ResponseWriter, r *http.Request) (req pipeline.Request, stream bool, err error) {
 	now := a.opts.Clock.Now()
 	name := httpserver.PathVar(r, "profile")
-	if err := checkText("profile", name, maxKeyLength); err != nil {
+	if err := validateText("profile", name, maxKeyLength); err != nil {
 		return req, false, err
 	}
 	req.Profile = name
@@ -68,15 +68,15 @@
 	if err != nil {
 		return req, false, err
 	}
-	checked, err := check(body, req.Organisation, req.Profile, now)
+	checked, err := validate(body, req.Organisation, req.Profile, now)
 	if err != nil {
 		return req, false, err
 	}
 	return checked, body.Stream, nil
 }
 
-// whole answers with one JSON object.
-func (a *api) whole(w http.ResponseWriter, r *http.Request, req pipeline.Request) {
+// answerWhole runs the request and answers with one JSON object.
+func (a *api) answerWhole(w http.ResponseWriter, r *http.Request, req pipeline.Request) {
 	result, err := a.serve(r.Context(), req, &wholeSink{limit: a.opts.Limits.MaxAnswer})
 	if err == nil && int64(len(result.Output)) > a.opts.Limits.MaxAnswer {
 		err = answerTooLarge(a.opts.Limits.MaxAnswer)
@@ -85,7 +85,7 @@
 		a.fail(w, err, req)
 		return
 	}
-	a.answered(req, result)
+	a.recordAnswer(req, result)
 	reply := a.reply(req, result)
 	reply.Output = result.Output
 	httpserver.WriteJSON(w, http.StatusOK, reply)
@@ -95,8 +95,8 @@
 	return errkind.New(errkind.AnswerTooLarge, "the answer is larger than %d bytes", limit)
 }
 
-// serve calls the handler; a panic becomes an Internal error, so that the
-// caller gets a body instead of a cut connection.
+// serve calls the handler. It converts a panic into an Internal error, so that
+// the caller gets an error body instead of a closed connection.
 func (a *api) serve(ctx context.Context, req pipeline.Request, sink pipeline.Sink) (result pipeline.Outcome, err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -107,13 +107,13 @@
 	return a.opts.Handler.Serve(ctx, req, sink)
 }
 
-func (a *api) answered(req pipeline.Request, result pipeline.Outcome) {
+func (a *api) recordAnswer(req pipeline.Request, result pipeline.Outcome) {
 	a.opts.Metrics.Labelled(metricAnswers).Add("ok", 1)
 	a.opts.Logger.Log(event.RequestAnswered, "request", req.ID, "organisation", req.Organisation,
 		"profile", req.Profile, "version", result.Version, "total", result.Total, "repeated", result.Repeated)
 }
 
-// reply returns the answer without its output.
+// reply returns the reply to a request without its Output field.
 func (a *api) reply(req pipeline.Request, result pipeline.Outcome) lynxapi.SendReply {
 	stages := make([]lynxapi.StageCost, len(result.Stages))
 	for i, s := range result.Stages {
@@ -156,8 +156,9 @@
 
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// wholeSink drops the pieces of an answer that is delivered whole from the
-// outcome; it only stops one that is too large while it is being made.
+// wholeSink is the sink of a request that is not streamed. It discards the
+// frames, because the answer is sent from the outcome, and only counts their
+// bytes, so that an answer over the limit is aborted while it is generated.
 type wholeSink struct {
 	limit int64
 	size  int64
--- a/internal/callerapi/stream.go
+++ b/internal/callerapi/stream.go
@@ -14,62 +14,67 @@
 	"lynxhill.example/lynxhill/internal/wire/lynxapi"
 )
 
-// frameOut is a piece of an answer on its way from the handler to the writer.
-type frameOut struct {
+// pendingFrame is a frame passed from the handler's goroutine to the goroutine
+// that writes the stream, which reports the result of the write on written.
+type pendingFrame struct {
 	frame   lynxapi.Frame
 	written chan<- error
 }
 
-// ending is how the handler ended.
-type ending struct {
+// handlerResult is what the handler's Serve method returned.
+type handlerResult struct {
 	result pipeline.Outcome
 	err    error
 }
 
-// errCallerGone is returned to the handler by Frame.
+// errCallerGone is the cause of the error that Frame returns to the handler
+// after the caller has disconnected.
 var errCallerGone = errors.New("the caller is gone")
 
-// stream answers with server-sent events. The handler runs in a goroutine of
-// its own; this one alone writes, so that frames and heartbeats need no lock.
-// A caller that takes its answer slowly blocks its own handler only.
+// stream runs the request and answers with server-sent events. The handler runs
+// in a separate goroutine. Only the calling goroutine writes to w, so frames
+// and heartbeats need no lock. A caller that reads slowly blocks only the
+// handler of its own request.
 func (a *api) stream(w http.ResponseWriter, r *http.Request, req pipeline.Request) {
 	ctx, cancel := context.WithCancel(r.Context())
 	defer cancel()
-	frames := make(chan frameOut)
-	ended := make(chan ending, 1)
+	frames := make(chan pendingFrame)
+	ended := make(chan handlerResult, 1)
 	gone := make(chan struct{})
 	sink := &streamSink{frames: frames, gone: gone, limit: a.opts.Limits.MaxAnswer}
 	go func() {
 		result, err := a.serve(ctx, req, sink)
-		ended <- ending{result: result, err: err}
+		ended <- handlerResult{result: result, err: err}
 	}()
 	s := &streamWriter{api: a, w: w, control: http.NewResponseController(w), req: req}
 	end, alive := s.pump(ctx, frames, ended)
 	if !alive {
-		// The handler has to end before this function does: it holds the
-		// request, and what it reports belongs to this request.
+		// Wait for the handler before returning: it still uses the request,
+		// and its result is logged and counted for this request.
 		a.opts.Metrics.Counter(metricGone).Add(1)
 		close(gone)
 		cancel()
 		end := <-ended
-		a.noteUnheard(end, req)
+		a.recordAfterDisconnect(end, req)
 		return
 	}
 	s.finish(end, sink)
 }
 
-// noteUnheard logs how a request ended whose caller is gone.
-func (a *api) noteUnheard(end ending, req pipeline.Request) {
+// recordAfterDisconnect logs and counts the result of a request whose caller
+// has disconnected.
+func (a *api) recordAfterDisconnect(end handlerResult, req pipeline.Request) {
 	if end.err != nil {
-		a.note(end.err, req)
+		a.recordError(end.err, req)
 		return
 	}
-	a.answered(req, end.result)
+	a.recordAnswer(req, end.result)
 }
 
-// streamSink hands frames to the writer and waits until each is written.
+// streamSink passes frames to the goroutine that writes the stream and waits
+// until each one is written.
 type streamSink struct {
-	frames chan<- frameOut
+	frames chan<- pendingFrame
 	gone   <-chan struct{}
 	limit  int64
 	size   int64
@@ -82,7 +87,7 @@
 	}
 	written := make(chan error, 1)
 	select {
-	case s.frames <- frameOut{frame: lynxapi.Frame{Offset: offset, Text: text}, written: written}:
+	case s.frames <- pendingFrame{frame: lynxapi.Frame{Offset: offset, Text: text}, written: written}:
 	case <-s.gone:
 		return errkind.Wrap(errCallerGone, errkind.Cancelled, "stream")
 	}
@@ -96,11 +101,12 @@
 // StageDone implements pipeline.Sink.
 func (s *streamSink) StageDone(pipeline.StageReport) {}
 
-// acceptWithin is when a stream begins at the latest. A request that is refused
-// sooner gets the HTTP status of its error; a caller that hears nothing for
-// much longer than this knows that the instance or the connection is silent,
-// without waiting for a heartbeat or its deadline.
-const acceptWithin = 100 * time.Millisecond
+// streamStartDelay is the time after which the stream starts at the latest. A
+// request that fails earlier is answered with the HTTP status of its error. A
+// caller that receives nothing for much longer than this can conclude that the
+// instance or the connection is unresponsive, without waiting for a heartbeat
+// or for its deadline.
+const streamStartDelay = 100 * time.Millisecond
 
 // streamWriter writes the events of one stream.
 type streamWriter struct {
@@ -111,44 +117,44 @@
 	begun   bool
 }
 
-// pump writes frames and heartbeats until the handler has ended; alive is
-// false if the caller is gone first.
-func (s *streamWriter) pump(ctx context.Context, frames <-chan frameOut, ended <-chan ending) (end ending, alive bool) {
+// pump writes frames and heartbeats until the handler has returned. alive is
+// false if the caller disconnected, or a write failed, before that.
+func (s *streamWriter) pump(ctx context.Context, frames <-chan pendingFrame, ended <-chan handlerResult) (end handlerResult, alive bool) {
 	ticker := s.api.opts.Clock.NewTicker(s.api.opts.HeartbeatEvery)
 	defer ticker.Stop()
-	first := s.api.opts.Clock.NewTimer(acceptWithin)
-	defer first.Stop()
+	startTimer := s.api.opts.Clock.NewTimer(streamStartDelay)
+	defer startTimer.Stop()
 	for {
 		select {
-		case <-first.C:
+		case <-startTimer.C:
 			if err := s.begin(); err != nil {
-				return ending{}, false
+				return handlerResult{}, false
 			}
 		case f := <-frames:
 			err := s.event(lynxapi.EventFrame, f.frame)
 			f.written <- err
 			if err != nil {
-				return ending{}, false
+				return handlerResult{}, false
 			}
 			s.api.opts.Metrics.Counter(metricFrames).Add(1)
 		case <-ticker.C:
 			if err := s.event(lynxapi.EventHeartbeat, struct{}{}); err != nil {
-				return ending{}, false
+				return handlerResult{}, false
 			}
 			s.api.opts.Metrics.Counter(metricHeartbeats).Add(1)
 		case end = <-ended:
 			return end, true
 		case <-ctx.Done():
-			return ending{}, false
+			return handlerResult{}, false
 		}
 	}
 }
 
-// finish writes the last event. An error before the first event is answered
-// with its HTTP status.
-func (s *streamWriter) finish(end ending, sink *streamSink) {
+// finish writes the last event of the stream. If the handler failed before any
+// event was written, finish answers with the HTTP status of the error instead.
+func (s *streamWriter) finish(end handlerResult, sink *streamSink) {
 	if end.err != nil && !s.begun {
-		s.deadline()
+		s.extendWriteDeadline()
 		s.api.fail(s.w, end.err, s.req)
 		return
 	}
@@ -156,7 +162,7 @@
 		end.err = answerTooLarge(s.api.opts.Limits.MaxAnswer)
 	}
 	if end.err != nil {
-		s.api.note(end.err, s.req)
+		s.api.recordError(end.err, s.req)
 		_ = s.event(lynxapi.EventError, httpserver.ErrorBody(end.err, s.req.ID))
 		return
 	}
@@ -166,11 +172,11 @@
 	if !end.result.Streamed {
 		reply.Output = end.result.Output
 	}
-	s.api.answered(s.req, end.result)
-	_ = s.event(lynxapi.EventEnd, reply) // a caller that misses the end mark asks for the outcome
+	s.api.recordAnswer(s.req, end.result)
+	_ = s.event(lynxapi.EventEnd, reply) // a caller that does not receive the end event looks up the outcome
 }
 
-// event writes one server-sent event.
+// event writes one server-sent event and starts the stream if necessary.
 func (s *streamWriter) event(name string, data any) error {
 	if err := s.begin(); err != nil {
 		return err
@@ -178,7 +184,8 @@
 	return s.write(name, data)
 }
 
-// begin writes the header and the event accepted, once.
+// begin starts the stream with the response header and the accepted event.
+// Calls after the first do nothing.
 func (s *streamWriter) begin() error {
 	if s.begun {
 		return nil
@@ -201,18 +208,19 @@
 	line.WriteString("event: ")
 	line.WriteString(name)
 	line.WriteString("\ndata: ")
-	line.Write(raw) // JSON holds no newline, so that one data line is enough
+	line.Write(raw) // encoded JSON contains no newline, so one data line is enough
 	line.WriteString("\n\n")
-	s.deadline()
+	s.extendWriteDeadline()
 	if _, err := s.w.Write(line.Bytes()); err != nil {
 		return err
 	}
 	return s.control.Flush()
 }
 
-// deadline gives the caller time for the next piece. Without it a caller that
-// stopped reading, or whose connection something between the ends has lost,
-// would hold its handler for good; here the write fails and the request ends.
-func (s *streamWriter) deadline() {
+// extendWriteDeadline sets the deadline of the next write to WriteTimeout from
+// now. Without a deadline, a caller that has stopped reading, or whose
+// connection was lost on the network path, would block its handler forever.
+// With it, the write fails and the request ends.
+func (s *streamWriter) extendWriteDeadline() {
 	_ = s.control.SetWriteDeadline(time.Now().Add(s.api.opts.Limits.WriteTimeout))
 }
--- a/internal/callerapi/stream_test.go
+++ b/internal/callerapi/stream_test.go
@@ -23,8 +23,9 @@
 	}
 }
 
-// Symptom: a caller can't tell a long wait from a connection that something
-// between the two ends has lost. Cause: silence while the request waits.
+// Guards against a caller that cannot distinguish a long wait from a connection
+// that was lost on the network path. This happens if the instance sends nothing
+// while the request waits.
 func TestAWaitingCallerGetsHeartbeats(t *testing.T) {
 	inBothProtocols(t, func(t *testing.T, http2 bool) {
 		v := newInstance(t, fakeHandler{serve: func(ctx context.Context, req pipeline.Request, s pipeline.Sink) (pipeline.Outcome, error) {
@@ -39,9 +40,9 @@
 	})
 }
 
-// Symptom: requests of callers that went silent hold memory and targets until
-// their deadline. Events: the caller stops reading without closing. Cause:
-// writes that wait for good.
+// Guards against requests that occupy memory and targets until their deadline
+// although the caller has stopped reading without closing the connection. This
+// happens if writes have no deadline.
 func TestASilentCallerIsNoticed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		begin := time.Now()
@@ -67,8 +68,8 @@
 	})
 }
 
-// Symptom: one caller that reads slowly delays the answers of all. Cause: a
-// writer or lock that they share.
+// Guards against a slow reader that delays the answers of all other callers.
+// This happens if streams share a writer or a lock.
 func TestASlowCallerDelaysNobodyElse(t *testing.T) {
 	inBothProtocols(t, func(t *testing.T, http2 bool) {
 		v := newInstance(t, fakeHandler{serve: streamTwo(nil)}, Limits{WriteTimeout: time.Hour}, http2)
@@ -85,7 +86,7 @@
 	})
 }
 
-// Symptom: targets work on for callers that hung up.
+// Guards against targets that keep working for callers that have disconnected.
 func TestACallerThatHangsUpEndsItsRequest(t *testing.T) {
 	for _, body := range []string{streamed, `{"organisation":"acme","input":1}`} {
 		synctest.Test(t, func(t *testing.T) {
@@ -108,9 +109,9 @@
 	}
 }
 
-// Symptom: a defect shows a caller its stack, or leaves it without an answer.
-// Cause: the handler of a stream runs in a goroutine of its own, whose panic
-// would end the whole process.
+// Guards against a panic that exposes its stack to the caller or leaves the
+// caller without an answer. The handler of a stream runs in a separate
+// goroutine, where an unrecovered panic would terminate the process.
 func TestAPanicIsAnInternalError(t *testing.T) {
 	for _, body := range []string{streamed, `{"organisation":"acme","input":1}`} {
 		synctest.Test(t, func(t *testing.T) {
@@ -126,7 +127,7 @@
 	}
 }
 
-// Symptom: a burst fills the memory of an instance.
+// Guards against a burst of requests that exhausts the memory of an instance.
 func TestRequestsOverTheLimitAreRefusedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		v := newInstance(t, fakeHandler{serve: func(ctx context.Context, req pipeline.Request, s pipeline.Sink) (pipeline.Outcome, error) {
@@ -152,7 +153,8 @@
 	})
 }
 
-// Symptom: a caller that announces a body and never sends it hangs for good.
+// Guards against a request that hangs forever because its caller announced a
+// body and never sends it.
 func TestABodyThatDoesNotArriveIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		v := newInstance(t, fakeHandler{serve: echo}, Limits{BodyTimeout: time.Second}, false)
@@ -168,13 +170,14 @@
 	})
 }
 
-// Symptom: a request with a deadline of one second was lost at an instance that
-// had stopped moving. Cause: the caller could not tell a slow request from a
-// silent instance before the first heartbeat, a second after it had sent it.
+// Guards against the loss of a request with a deadline of one second at an
+// instance that has stopped responding. This happened because the first
+// heartbeat came only one second after the request was sent, so the caller
+// could not distinguish a slow request from an unresponsive instance earlier.
 func TestAStreamBeginsLongBeforeItsAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		v := newInstance(t, fakeHandler{serve: func(ctx context.Context, _ pipeline.Request, _ pipeline.Sink) (pipeline.Outcome, error) {
-			<-ctx.Done() // an answer that takes long
+			<-ctx.Done() // a slow answer
 			return pipeline.Outcome{}, errkind.Wrap(ctx.Err(), errkind.Cancelled, "the caller went away")
 		}}, Limits{}, false)
 		defer v.close()
@@ -184,7 +187,7 @@
 		if _, err := conn.Read(make([]byte, 1)); err != nil {
 			t.Fatal(err)
 		}
-		if waited := time.Since(sent); waited != acceptWithin {
+		if waited := time.Since(sent); waited != streamStartDelay {
 			t.Fatalf("the stream began after %s", waited)
 		}
 	})
