--- a/internal/adminapi/adminapi.go
+++ b/internal/adminapi/adminapi.go
@@ -1,7 +1,7 @@
-// Package adminapi is the HTTP edge towards operators: profiles and their
-// changes, instances, targets, drains, limits, plans, reports and metrics. A
-// viewer reads, an operator also changes; every change is written to the log
-// as an audit event.
+// Package adminapi implements the HTTP API for operators: profiles and their
+// changes, instances, targets, drains, limits, model plans, reports and
+// metrics. Tokens with the viewer role may only read; tokens with the operator
+// role may also make changes. Every change is logged as an audit event.
 package adminapi
 
 import (
@@ -18,8 +18,9 @@
 	"lynxhill.example/lynxhill/internal/wire/lynxapi"
 )
 
-// Operations carries out what operators ask, one method an operation. Errors have
-// kinds. The argument operator is the name in the token.
+// Operations executes the operations of the admin API, one per method. Errors
+// have kinds (package errkind). The argument operator is the operator name that
+// belongs to the token.
 type Operations interface {
 	Profiles(ctx context.Context) (lynxapi.ProfileList, error)
 	Profile(ctx context.Context, name string) (lynxapi.ProfileView, error)
@@ -42,23 +43,25 @@
 	Plans(ctx context.Context) (lynxapi.PlacementList, error)
 	SetPlan(ctx context.Context, operator string, plan lynxapi.ModelPlan) (lynxapi.ModelPlan, error)
 
-	// Burn returns the report merged from all instances that answer, BurnLocal
-	// the one of this instance alone. A window of 0 is the longest one.
+	// Burn returns the report merged from all instances that answer.
+	// BurnLocal returns the report of this instance alone. A window of 0
+	// selects the longest window.
 	Burn(ctx context.Context, window time.Duration) (lynxapi.BurnReport, error)
 	BurnLocal(ctx context.Context, window time.Duration) (lynxapi.BurnReport, error)
 
-	// Ready returns nil if the instance takes new requests, else the reason.
+	// Ready returns nil if the instance accepts new requests, otherwise an
+	// error with the reason.
 	Ready() error
 }
 
-// Options of New.
+// Options configures New.
 type Options struct {
 	Operations Operations
 	Auth       *auth.Verifier
 	Logger     *event.Logger
 	Metrics    *metrics.Registry
-	Registry   http.Handler // serves PathMetrics; nil = Metrics
-	Pprof      bool         // serve profiles of the process to operators
+	Registry   http.Handler // serves PathMetrics; nil = Metrics, or an empty registry if that is nil too
+	Pprof      bool         // serve the process's pprof profiles to operators
 	MaxBody    int64        // bytes; 0 = 1 MiB
 }
 
@@ -81,14 +84,14 @@
 		return nil, errors.New("adminapi: Operations and Auth are required")
 	}
 	if opts.Registry == nil {
-		opts.Registry = registryOf(opts.Metrics)
+		opts.Registry = registryOrNew(opts.Metrics)
 	}
 	defaults.Positive(&opts.MaxBody, defaultMaxBody)
 	a := &api{opts: opts, operations: opts.Operations}
 	return httpserver.NewRouter(httpserver.RouterOptions{Routes: a.routes(), Logger: opts.Logger})
 }
 
-func registryOf(m *metrics.Registry) http.Handler {
+func registryOrNew(m *metrics.Registry) http.Handler {
 	if m == nil {
 		m = metrics.NewRegistry()
 	}
@@ -139,7 +142,7 @@
 }
 
 func (a *api) metrics(w http.ResponseWriter, r *http.Request) {
-	if _, err := a.operator(r, auth.RoleViewer); err != nil {
+	if _, err := a.authorise(r, auth.RoleViewer); err != nil {
 		a.refuse(w, r, "metrics", err)
 		return
 	}
--- a/internal/adminapi/adminapi_test.go
+++ b/internal/adminapi/adminapi_test.go
@@ -19,7 +19,8 @@
 	"lynxhill.example/lynxhill/internal/wire/lynxapi"
 )
 
-// fakeOperations records changes; what it does not override panics.
+// fakeOperations records the changes it is called for. Methods that it does not
+// implement panic.
 type fakeOperations struct {
 	Operations
 	changes []string
@@ -28,7 +29,7 @@
 	err     error
 }
 
-func (f *fakeOperations) note(parts ...string) {
+func (f *fakeOperations) record(parts ...string) {
 	f.changes = append(f.changes, strings.Join(parts, " "))
 }
 
@@ -54,49 +55,49 @@
 }
 
 func (f *fakeOperations) SetProfile(_ context.Context, operator, name string, req lynxapi.ChangeRequest) (lynxapi.ChangeReply, error) {
-	f.note("set", operator, name, req.ChangeID)
+	f.record("set", operator, name, req.ChangeID)
 	return lynxapi.ChangeReply{State: f.state}, f.err
 }
 
 func (f *fakeOperations) DeleteProfile(_ context.Context, operator, name string, ifVersion uint64, changeID string) (lynxapi.ChangeReply, error) {
-	f.note("delete", operator, name, changeID)
+	f.record("delete", operator, name, changeID)
 	return lynxapi.ChangeReply{Version: ifVersion}, f.err
 }
 
 func (f *fakeOperations) Rollback(_ context.Context, operator, name string, req lynxapi.RollbackRequest) (lynxapi.ChangeReply, error) {
-	f.note("rollback", operator, name, req.ChangeID)
+	f.record("rollback", operator, name, req.ChangeID)
 	return lynxapi.ChangeReply{}, f.err
 }
 
 func (f *fakeOperations) Drain(_ context.Context, operator string, req lynxapi.DrainRequest) (lynxapi.DrainView, error) {
-	f.note("drain", operator, req.Subject)
+	f.record("drain", operator, req.Subject)
 	return lynxapi.DrainView{Subject: req.Subject}, f.err
 }
 
 func (f *fakeOperations) Undrain(_ context.Context, operator, subject string) error {
-	f.note("undrain", operator, subject)
+	f.record("undrain", operator, subject)
 	return f.err
 }
 
 func (f *fakeOperations) SetLimit(_ context.Context, operator string, limit lynxapi.OrganisationLimit) (lynxapi.OrganisationLimit, error) {
-	f.note("limit", operator, limit.Organisation)
+	f.record("limit", operator, limit.Organisation)
 	return limit, f.err
 }
 
 func (f *fakeOperations) SetPlan(_ context.Context, operator string, plan lynxapi.ModelPlan) (lynxapi.ModelPlan, error) {
-	f.note("plan", operator, plan.Service)
+	f.record("plan", operator, plan.Service)
 	return plan, f.err
 }
 
 func (f *fakeOperations) Ready() error { return f.err }
 
-// admin is the admin API with a token of each role.
+// admin is the HTTP handler under test with a token for each role.
 type admin struct {
 	t                *testing.T
 	operations       *fakeOperations
 	handler          http.Handler
 	viewer, operator string
-	written          bytes.Buffer
+	logOutput        bytes.Buffer
 }
 
 func newAdmin(t *testing.T, pprof bool) *admin {
@@ -113,7 +114,7 @@
 		t.Fatal(err)
 	}
 	a.handler, err = New(Options{Operations: a.operations, Auth: verifier, Pprof: pprof,
-		Logger: event.NewLogger(log.NewLogfmtLogger(&a.written)), Metrics: metrics.NewRegistry()})
+		Logger: event.NewLogger(log.NewLogfmtLogger(&a.logOutput)), Metrics: metrics.NewRegistry()})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -139,14 +140,15 @@
 	return body.Kind
 }
 
-// Symptom: somebody without rights reads or changes the fleet. Cause: a path
-// that was added without its check. The paths come from the list itself.
+// Guards against access without permission through a route that was added
+// without its authorisation check. The paths are taken from the list of routes,
+// so that new routes are covered.
 func TestEveryPathChecksTheTokenAndTheRole(t *testing.T) {
 	a := newAdmin(t, true)
-	open := map[string]bool{lynxapi.PathReady: true, lynxapi.PathAlive: true}
-	lister := &api{opts: Options{Pprof: true}}
-	for _, route := range lister.routes() {
-		if open[route.Path] {
+	publicPaths := map[string]bool{lynxapi.PathReady: true, lynxapi.PathAlive: true}
+	routeSource := &api{opts: Options{Pprof: true}}
+	for _, route := range routeSource.routes() {
+		if publicPaths[route.Path] {
 			continue
 		}
 		path := strings.NewReplacer(":name", "n", ":id", "i").Replace(route.Path)
@@ -165,7 +167,7 @@
 	if len(a.operations.changes) != 0 {
 		t.Fatalf("refused calls changed something: %v", a.operations.changes)
 	}
-	if n := strings.Count(a.written.String(), "operator_refused"); n == 0 {
+	if n := strings.Count(a.logOutput.String(), "operator_refused"); n == 0 {
 		t.Fatal("refused calls were not logged")
 	}
 }
@@ -189,14 +191,14 @@
 			if len(a.operations.changes) != 1 || a.operations.changes[0] != tt.want {
 				t.Fatalf("changes %v", a.operations.changes)
 			}
-			audit := a.written.String()
+			audit := a.logOutput.String()
 			if !strings.Contains(audit, "operator_changed") || !strings.Contains(audit, "operator=omar") || strings.Contains(audit, a.operator) {
 				t.Fatalf("audit %s", audit)
 			}
 			a.operations.err = errkind.New(errkind.ChangeUnknown, "no answer")
 			answer := a.call(a.operator, tt.method, tt.path, tt.body)
-			if kindOf(t, answer) != "change_unknown" || !strings.Contains(a.written.String(), "operator_failed") {
-				t.Fatalf("%d %s, audit %s", answer.Code, answer.Body, &a.written)
+			if kindOf(t, answer) != "change_unknown" || !strings.Contains(a.logOutput.String(), "operator_failed") {
+				t.Fatalf("%d %s, audit %s", answer.Code, answer.Body, &a.logOutput)
 			}
 		})
 	}
--- a/internal/adminapi/call.go
+++ b/internal/adminapi/call.go
@@ -11,28 +11,29 @@
 	"lynxhill.example/lynxhill/internal/wire/lynxapi"
 )
 
-// call is one call of the admin API.
+// call is one authorised call of the admin API.
 type call struct {
 	ctx      context.Context
 	r        *http.Request
 	body     []byte
-	operator string // name in the token
-	subject  string // what a change is about, for the audit event
+	operator string // name of the operator that the token belongs to
+	subject  string // the object that a change applies to, for the audit event
 }
 
 func (c *call) query(name string) string { return c.r.URL.Query().Get(name) }
 func (c *call) path(name string) string  { return httpserver.PathVar(c.r, name) }
 
-// operation carries out a call and returns the message to answer with.
+// operation executes a call and returns the message to answer with.
 type operation func(c *call) (any, error)
 
-// get returns the route of an operation that viewers may use.
+// get returns the route of a read-only operation, which requires the viewer
+// role.
 func (a *api) get(name, path string, do operation) httpserver.Route {
 	return httpserver.Route{Method: http.MethodGet, Path: path, Handler: a.handler(name, auth.RoleViewer, do)}
 }
 
-// change returns the route of an operation that only operators may use and
-// that is written to the audit log.
+// change returns the route of an operation that requires the operator role and
+// is logged as an audit event.
 func (a *api) change(name, method, path string, do operation) httpserver.Route {
 	return httpserver.Route{Method: method, Path: path, Handler: a.handler(name, auth.RoleOperator, do)}
 }
@@ -40,12 +41,12 @@
 func (a *api) handler(name string, role auth.Role, do operation) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		a.opts.Metrics.Labelled(metricCalls).Add(name, 1)
-		who, err := a.operator(r, role)
+		identity, err := a.authorise(r, role)
 		if err != nil {
 			a.refuse(w, r, name, err)
 			return
 		}
-		c := &call{ctx: r.Context(), r: r, operator: who.Name}
+		c := &call{ctx: r.Context(), r: r, operator: identity.Name}
 		c.body, err = httpserver.ReadBody(w, r, a.opts.MaxBody)
 		var message any
 		if err == nil {
@@ -65,16 +66,17 @@
 	}
 }
 
-// operator returns who calls, or an error if the token does not allow it.
-func (a *api) operator(r *http.Request, needed auth.Role) (auth.Operator, error) {
-	who, err := a.opts.Auth.Operator(r.Header.Get("Authorization"))
+// authorise returns the operator that the request's token belongs to, or an
+// error if the token is invalid or lacks the needed role.
+func (a *api) authorise(r *http.Request, needed auth.Role) (auth.Operator, error) {
+	identity, err := a.opts.Auth.Operator(r.Header.Get("Authorization"))
 	if err != nil {
 		return auth.Operator{}, err
 	}
-	if needed == auth.RoleOperator && who.Role != auth.RoleOperator {
-		return auth.Operator{}, errkind.New(errkind.Forbidden, "the token's role is %s; this needs %s", who.Role, needed)
+	if needed == auth.RoleOperator && identity.Role != auth.RoleOperator {
+		return auth.Operator{}, errkind.New(errkind.Forbidden, "the token's role is %s; this needs %s", identity.Role, needed)
 	}
-	return who, nil
+	return identity, nil
 }
 
 func (a *api) refuse(w http.ResponseWriter, r *http.Request, name string, err error) {
@@ -92,7 +94,8 @@
 	a.opts.Logger.Log(event.OperatorChanged, "operator", c.operator, "operation", name, "subject", c.subject)
 }
 
-// changeStatus is 202 for a change that is not in force everywhere yet.
+// changeStatus returns the HTTP status of a successful change: 202 if the
+// change is not in force everywhere yet or its state is unknown, otherwise 200.
 func changeStatus(message any) int {
 	reply, ok := message.(lynxapi.ChangeReply)
 	if ok && (reply.State == lynxapi.ChangeWritten || reply.State == lynxapi.ChangeUnknown) {
--- a/internal/adminapi/operations.go
+++ b/internal/adminapi/operations.go
@@ -35,7 +35,8 @@
 	return a.operations.BurnLocal(c.ctx, window)
 }
 
-// burnWindow reads the window of a report, 0 if the call names none.
+// burnWindow returns the window parameter of a report, or 0 if the call has
+// none.
 func burnWindow(c *call) (time.Duration, error) {
 	text := c.query(lynxapi.ParamWindow)
 	if text == "" {
@@ -93,8 +94,9 @@
 	return a.operations.Rollback(c.ctx, c.operator, c.subject, req)
 }
 
-// checkChange insists on a change id: it is what tells, after a lost reply,
-// whether the change was written.
+// checkChange validates the parameters of a change. The change id is required
+// because, after a lost reply, it is the only way to find out whether the change
+// was written.
 func checkChange(changeID string, waitMS int64) error {
 	if changeID == "" || len(changeID) > maxNameLength {
 		return errkind.New(errkind.BadRequest, "change_id must hold 1 to %d bytes", maxNameLength)
--- a/internal/adminapi/pprof.go
+++ b/internal/adminapi/pprof.go
@@ -8,8 +8,8 @@
 	"lynxhill.example/lynxhill/internal/httpserver"
 )
 
-// pprofRoutes returns the routes of the process's profiles. They are for
-// operators only: profiles show what is in memory.
+// pprofRoutes returns the routes of the process's pprof profiles. They require
+// the operator role because profiles expose the contents of memory.
 func (a *api) pprofRoutes() []httpserver.Route {
 	const root = "/debug/pprof"
 	handlers := map[string]http.HandlerFunc{
@@ -24,14 +24,14 @@
 	}
 	routes := make([]httpserver.Route, 0, len(handlers))
 	for path, h := range handlers {
-		routes = append(routes, httpserver.Route{Method: http.MethodGet, Path: path, Handler: a.forOperators("pprof", h)})
+		routes = append(routes, httpserver.Route{Method: http.MethodGet, Path: path, Handler: a.operatorsOnly("pprof", h)})
 	}
 	return routes
 }
 
-func (a *api) forOperators(name string, next http.HandlerFunc) http.HandlerFunc {
+func (a *api) operatorsOnly(name string, next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		if _, err := a.operator(r, auth.RoleOperator); err != nil {
+		if _, err := a.authorise(r, auth.RoleOperator); err != nil {
 			a.refuse(w, r, name, err)
 			return
 		}
