--- a/cmd/lynxbench/capacity.go
+++ b/cmd/lynxbench/capacity.go
@@ -52,9 +52,9 @@
 
 func (c capacityCmd) adjust(cfg *config.Config) {
 	if c.PeerHeartbeat > 0 {
-		cfg.Timings.PeerHeartbeat = config.Of(c.PeerHeartbeat)
+		cfg.Timings.PeerHeartbeat = config.DurationOf(c.PeerHeartbeat)
 	}
 	if c.FenceAfter > 0 {
-		cfg.Timings.FenceAfter = config.Of(c.FenceAfter)
+		cfg.Timings.FenceAfter = config.DurationOf(c.FenceAfter)
 	}
 }
--- a/cmd/lynxbench/load.go
+++ b/cmd/lynxbench/load.go
@@ -113,7 +113,7 @@
 		Run: fmt.Sprintf("load/%d", c.Seed), PoisonEvery: c.PoisonEvery,
 		Arrivals: bench.Arrivals{
 			Kind: c.Arrivals, File: c.Replay, BurstFactor: c.BurstFactor,
-			BurstEvery: config.Of(c.BurstEvery), BurstFor: config.Of(c.BurstFor),
+			BurstEvery: config.DurationOf(c.BurstEvery), BurstFor: config.DurationOf(c.BurstFor),
 		},
 		Lengths: bench.Lengths{
 			InputWords: c.InputWords, InputSigma: c.InputSigma, Prefixes: c.Prefixes, PrefixWords: c.PrefixWords,
--- a/cmd/lynxbench/main.go
+++ b/cmd/lynxbench/main.go
@@ -30,7 +30,7 @@
 }
 
 func main() {
-	httpserver.DisarmGoZero()
+	httpserver.DisableGoZeroSignals()
 	var args cli
 	parser := kong.Must(&args,
 		kong.Name("lynxbench"),
--- a/cmd/lynxbench/standins.go
+++ b/cmd/lynxbench/standins.go
@@ -60,7 +60,7 @@
 		return err
 	}
 	return attached.Fault(ctx, bench.Fault{
-		Kind: c.Kind, For: config.Of(c.For), Subject: c.Subject, Count: c.Count, Value: c.Value,
+		Kind: c.Kind, For: config.DurationOf(c.For), Subject: c.Subject, Count: c.Count, Value: c.Value,
 	})
 }
 
--- a/cmd/lynxctl/change.go
+++ b/cmd/lynxctl/change.go
@@ -132,7 +132,7 @@
 }
 
 // forceText says where a version is in force.
-func forceText(force lynxapi.ForceReply) string {
+func forceText(force lynxapi.InForceReply) string {
 	text := fmt.Sprintf("in force at %d of %d instances", force.InForce, force.Total)
 	if len(force.Missing) > 0 {
 		text += "; missing: " + strings.Join(force.Missing, ", ")
--- a/cmd/lynxctl/explain.go
+++ b/cmd/lynxctl/explain.go
@@ -34,7 +34,7 @@
 	if err != nil {
 		return &usageError{err}
 	}
-	story, err := explain.Tell(c.ID, c.Around, sources)
+	story, err := explain.ReadTimeline(c.ID, c.Around, sources)
 	if errors.Is(err, explain.ErrUnknown) {
 		return &readError{errkind.New(errkind.NotFound, "no line in these logs has the request %q; %d lines that hold it could not be read", c.ID, story.Unreadable)}
 	}
@@ -44,7 +44,7 @@
 	return c.show(env, story)
 }
 
-func (c *explainCommand) show(env *environment, story explain.Story) error {
+func (c *explainCommand) show(env *environment, story explain.Timeline) error {
 	var err error
 	if shown := env.show(story, func() { err = story.WriteText(env.stdout) }); shown != nil {
 		return shown
--- a/cmd/lynxctl/explain_test.go
+++ b/cmd/lynxctl/explain_test.go
@@ -57,7 +57,7 @@
 
 func TestExplainAsJSON(t *testing.T) {
 	got := lynxctl(t, "", refusedLine+lostLine, "--output", "json", "explain", "22dba622af468c59")
-	var story explain.Story
+	var story explain.Timeline
 	if err := json.Unmarshal([]byte(got.out), &story); err != nil {
 		t.Fatalf("%v: %s", err, got.out)
 	}
--- a/cmd/lynxctl/fake_test.go
+++ b/cmd/lynxctl/fake_test.go
@@ -44,7 +44,7 @@
 	mux.HandleFunc("GET /v1/changes/{id}", f.tellChange)
 	mux.HandleFunc("GET /v1/report/burn", f.burn)
 	mux.HandleFunc("GET /v1/instances", func(w http.ResponseWriter, _ *http.Request) {
-		reply(w, lynxapi.InstanceList{Instances: []lynxapi.InstanceView{{ID: "lh-1", State: "alive", Place: "lac-a"}}})
+		reply(w, lynxapi.InstanceList{Instances: []lynxapi.InstanceView{{ID: "lh-1", State: "alive", Zone: "lac-a"}}})
 	})
 	mux.HandleFunc("GET /v1/targets", func(w http.ResponseWriter, _ *http.Request) {
 		reply(w, lynxapi.TargetList{Targets: []lynxapi.TargetView{{ID: "t-1", Service: "encoders"}, {ID: "t-2", Service: "lynx-pool"}}})
@@ -150,7 +150,7 @@
 	}
 	reply(w, lynxapi.ChangeReply{ChangeID: f.change.ChangeID, State: state, Name: r.PathValue("name"), Version: 13,
 		Diff:  []profile.DiffLine{{Path: "priority", Old: "5", New: "7"}},
-		Force: lynxapi.ForceReply{Total: 3, InForce: 2, Missing: []string{"lh-2"}}})
+		Force: lynxapi.InForceReply{Total: 3, InForce: 2, Missing: []string{"lh-2"}}})
 }
 
 func (f *fakeAdmin) tellChange(w http.ResponseWriter, r *http.Request) {
--- a/cmd/lynxctl/fleet.go
+++ b/cmd/lynxctl/fleet.go
@@ -19,7 +19,7 @@
 	return display(env, (*client.Admin).Instances, func(list lynxapi.InstanceList) {
 		env.table([]string{"INSTANCE", "STATE", "PLACE", "REGION", "CALLER", "ADMIN", "ROOM", "IN FLIGHT", "DRAINING"},
 			rowsOf(list.Instances, func(i lynxapi.InstanceView) []string {
-				return []string{i.ID, i.State, i.Place, i.Region, i.CallerAddr, i.AdminAddr,
+				return []string{i.ID, i.State, i.Zone, i.Region, i.CallerAddr, i.AdminAddr,
 					fmt.Sprintf("%.2f", i.Room), fmt.Sprint(i.InFlight), yesOrNo(i.Draining)}
 			}))
 	})
@@ -35,7 +35,7 @@
 	return display(env, c.read, func(list lynxapi.TargetList) {
 		env.table([]string{"TARGET", "SERVICE", "KIND", "PROVIDER", "PLACE", "ADDRESS", "LEAVING", "RUNNING", "QUEUED", "LOAD AGE", "MODELS"},
 			rowsOf(list.Targets, func(t lynxapi.TargetView) []string {
-				return []string{t.ID, t.Service, t.Kind, orDash(t.Provider), t.Place, t.Address, yesOrNo(t.Leaving),
+				return []string{t.ID, t.Service, t.Kind, orDash(t.Provider), t.Zone, t.Address, yesOrNo(t.Leaving),
 					fmt.Sprintf("%d/%d", t.Running, t.Slots), fmt.Sprint(t.Queued), fmt.Sprintf("%.0f ms", t.LoadAge), orDash(strings.Join(t.Models, " "))}
 			}))
 	})
@@ -50,7 +50,7 @@
 func (c *targetsCommand) only(all []lynxapi.TargetView) []lynxapi.TargetView {
 	kept := make([]lynxapi.TargetView, 0, len(all))
 	for _, t := range all {
-		if (c.Service == "" || t.Service == c.Service) && (c.Place == "" || t.Place == c.Place) {
+		if (c.Service == "" || t.Service == c.Service) && (c.Place == "" || t.Zone == c.Place) {
 			kept = append(kept, t)
 		}
 	}
@@ -65,7 +65,7 @@
 }
 
 func printStatus(env *environment, s lynxapi.Status) {
-	env.printf("instance    %s in %s, up %v\n", s.Instance, s.Place, (time.Duration(s.UptimeS) * time.Second).String())
+	env.printf("instance    %s in %s, up %v\n", s.Instance, s.Zone, (time.Duration(s.UptimeS) * time.Second).String())
 	env.printf("ready       %s%s%s\n", yesOrNo(s.Ready), textIf(s.Isolated, ", isolated"), textIf(s.Stopping, ", stopping"))
 	env.printf("store       %s, %d calls\n", map[bool]string{true: "up", false: "down"}[s.StoreUp], s.StoreCalls)
 	env.printf("instances   %d alive of %d known\n", s.Alive, s.Members)
--- a/cmd/lynxctl/request.go
+++ b/cmd/lynxctl/request.go
@@ -21,7 +21,7 @@
 func (c *addressCommand) Run(env *environment) error {
 	ctx, cancel := env.context()
 	defer cancel()
-	caller, err := env.caller(client.CallerOptions{Place: c.Place, Region: c.Region})
+	caller, err := env.caller(client.CallerOptions{Zone: c.Place, Region: c.Region})
 	if err != nil {
 		return err
 	}
@@ -32,7 +32,7 @@
 	return env.show(answer, func() {
 		env.table([]string{"INSTANCE", "ADDRESS", "PLACE", "REGION", "WEIGHT"},
 			rowsOf(answer.Addresses, func(a lynxapi.Address) []string {
-				return []string{a.ID, a.Address, a.Place, a.Region, fmt.Sprintf("%.2f", a.Weight)}
+				return []string{a.ID, a.Address, a.Zone, a.Region, fmt.Sprintf("%.2f", a.Weight)}
 			}))
 		env.printf("keep for %v\n", time.Duration(answer.KeepMS)*time.Millisecond)
 	})
@@ -70,7 +70,7 @@
 	}
 	ctx, cancel := env.context()
 	defer cancel()
-	opts := client.CallerOptions{Place: c.Place, Region: c.Region}
+	opts := client.CallerOptions{Zone: c.Place, Region: c.Region}
 	if c.NoResend {
 		opts.MaxAttempts = 1
 	}
--- a/cmd/lynxctl/request_test.go
+++ b/cmd/lynxctl/request_test.go
@@ -31,7 +31,7 @@
 	f := &fakeCaller{}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/address", func(w http.ResponseWriter, r *http.Request) {
-		address := lynxapi.Address{ID: "lh-1", Address: r.Host, Place: "lac-a", Weight: 1}
+		address := lynxapi.Address{ID: "lh-1", Address: r.Host, Zone: "lac-a", Weight: 1}
 		reply(w, lynxapi.AddressAnswer{Addresses: []lynxapi.Address{address}, KeepMS: 30000})
 	})
 	mux.HandleFunc("POST /v1/profiles/{profile}/requests", f.send)
--- a/cmd/lynxhilld/daemon.go
+++ b/cmd/lynxhilld/daemon.go
@@ -33,13 +33,13 @@
 		return nil, settingsError{err}
 	}
 	instance, err := edge.New(cfg, edge.Adapter{
-		Platform:    platform.NewStore(platform.StoreOptions{Endpoint: endpoint.Host}),
-		Codec:       platform.Codec{},
-		Decoder:     platform.Decoder{},
-		Stages:      func(pool *exchange.Pool) relay.StageClient { return platform.NewStageClient(pool) },
-		AnswerID:    platform.AnswerID,
-		ReadyPath:   platform.ReadinessPath,
-		AddressPath: platform.AddressPath,
+		Platform:          platform.NewStore(platform.StoreOptions{Endpoint: endpoint.Host}),
+		Codec:             platform.Codec{},
+		Decoder:           platform.Decoder{},
+		NewStageClient:    func(pool *exchange.Pool) relay.StageClient { return platform.NewStageClient(pool) },
+		ResponseAttemptID: platform.AnswerID,
+		ReadyPath:         platform.ReadinessPath,
+		AddressPath:       platform.AddressPath,
 	}, edge.Options{Logger: logger, LimitMemory: debug.SetMemoryLimit})
 	if err != nil {
 		return nil, settingsError{err}
--- a/cmd/lynxhilld/main.go
+++ b/cmd/lynxhilld/main.go
@@ -34,7 +34,7 @@
 type settingsError struct{ error }
 
 func main() {
-	httpserver.DisarmGoZero()
+	httpserver.DisableGoZeroSignals()
 	os.Exit(realMain(os.Args[1:], os.Stdout, os.Stderr))
 }
 
@@ -88,7 +88,7 @@
 	if err != nil {
 		return err
 	}
-	_, err = fmt.Fprintf(out, "%s: usable; instance %s in zone %s, region %s\n", c.Config, cfg.Instance.ID, cfg.Instance.Place, cfg.Instance.Region)
+	_, err = fmt.Fprintf(out, "%s: usable; instance %s in zone %s, region %s\n", c.Config, cfg.Instance.ID, cfg.Instance.Zone, cfg.Instance.Region)
 	return err
 }
 
--- a/cmd/lynxhilld/run.go
+++ b/cmd/lynxhilld/run.go
@@ -50,7 +50,7 @@
 	}
 	// go-zero registers its signal handlers in a separate goroutine, which may run after
 	// the first call of DisarmGoZero in main: a SIGUSR1 would then write a file.
-	httpserver.DisarmGoZero()
+	httpserver.DisableGoZeroSignals()
 	signals := make(chan os.Signal, 8)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	defer signal.Stop(signals)
@@ -140,7 +140,7 @@
 
 // openLog returns the log that the settings describe. Logging never blocks the caller.
 func openLog(cfg config.Config, out io.Writer) openedLog {
-	sink := logsink.New(out, logsink.Options{Notes: func(w io.Writer) *event.Logger {
+	sink := logsink.New(out, logsink.Options{DropReports: func(w io.Writer) *event.Logger {
 		return newLogger(newFormat(cfg.Log, w)).With("instance", cfg.Instance.ID)
 	}})
 	allowed := level.Allow(level.ParseDefault(cfg.Log.Level, level.InfoValue()))
--- a/deploy/pathtest/rig_test.go
+++ b/deploy/pathtest/rig_test.go
@@ -158,18 +158,18 @@
 	}
 	i.address, i.readiness, i.addresses = i.open(r.T), i.open(r.T), i.open(r.T)
 	cfg := config.Default()
-	cfg.Instance, cfg.Listen.Peer = config.Instance{ID: i.id, Place: "z1", Region: "r"}, i.open(r.T)
+	cfg.Instance, cfg.Listen.Peer = config.Instance{ID: i.id, Zone: "z1", Region: "r"}, i.open(r.T)
 	cfg.Platform.Endpoints = []string{"http://" + r.store}
-	cfg.Ingress.Listen, cfg.Ingress.Readiness, cfg.Ingress.Addresses = i.address, i.readiness, i.addresses
-	cfg.Ingress.AddressTTL, cfg.Ingress.Grace, cfg.Ingress.RetryExtra = config.Of(500*time.Millisecond), config.Of(graceTime), 1000
-	cfg.Ingress.Touch, cfg.Ingress.Apply = config.Of(touchTime), config.Of(applyTime)
+	cfg.Ingress.Listen, cfg.Ingress.Readiness, cfg.Ingress.AddressListen = i.address, i.readiness, i.addresses
+	cfg.Ingress.AddressTTL, cfg.Ingress.Grace, cfg.Ingress.RetryExtra = config.DurationOf(500*time.Millisecond), config.DurationOf(graceTime), 1000
+	cfg.Ingress.OutOfTouchAfter, cfg.Ingress.ApplyWithin = config.DurationOf(touchTime), config.DurationOf(applyTime)
 	cfg.Ingress.Evacuations = true
 	r.must(cfg.Validate())
 	made, err := edge.New(cfg, edge.Adapter{
 		Platform: platform.NewStore(platform.StoreOptions{Endpoint: r.store, Dial: i.dial}),
 		Codec:    platform.Codec{}, Decoder: platform.Decoder{},
-		Stages:   func(pool *exchange.Pool) relay.StageClient { return platform.NewStageClient(pool) },
-		AnswerID: platform.AnswerID, ReadyPath: platform.ReadinessPath, AddressPath: platform.AddressPath,
+		NewStageClient:    func(pool *exchange.Pool) relay.StageClient { return platform.NewStageClient(pool) },
+		ResponseAttemptID: platform.AnswerID, ReadyPath: platform.ReadinessPath, AddressPath: platform.AddressPath,
 	}, edge.Options{Seed: uint64(number), Dial: i.dial, Listen: func(_, a string) (net.Listener, error) { return i.listeners[a], nil }})
 	r.must(err)
 	var ctx context.Context
--- a/deploy/soak/soak_test.go
+++ b/deploy/soak/soak_test.go
@@ -32,7 +32,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Instance.ID != "n2" || c.Ingress.Listen != instances[1].Listen || c.Platform.Endpoints[0] != "http://127.0.0.1:2" || c.Ingress.Touch.Duration != touchTime {
+	if c.Instance.ID != "n2" || c.Ingress.Listen != instances[1].Listen || c.Platform.Endpoints[0] != "http://127.0.0.1:2" || c.Ingress.OutOfTouchAfter.Duration != touchTime {
 		t.Errorf("%+v", c)
 	}
 }
--- a/internal/adminapi/adminapi.go
+++ b/internal/adminapi/adminapi.go
@@ -27,7 +27,7 @@
 	SetProfile(ctx context.Context, operator, name string, req lynxapi.ChangeRequest) (lynxapi.ChangeReply, error)
 	DeleteProfile(ctx context.Context, operator, name string, ifVersion uint64, changeID string) (lynxapi.ChangeReply, error)
 	Rollback(ctx context.Context, operator, name string, req lynxapi.RollbackRequest) (lynxapi.ChangeReply, error)
-	Force(ctx context.Context, name string) (lynxapi.ForceReply, error)
+	InForce(ctx context.Context, name string) (lynxapi.InForceReply, error)
 	Change(ctx context.Context, id string) (lynxapi.ChangeReply, error)
 
 	Instances(ctx context.Context) (lynxapi.InstanceList, error)
--- a/internal/adminapi/operations.go
+++ b/internal/adminapi/operations.go
@@ -11,7 +11,7 @@
 
 func (a *api) profiles(c *call) (any, error)  { return a.operations.Profiles(c.ctx) }
 func (a *api) profile(c *call) (any, error)   { return a.operations.Profile(c.ctx, c.path("name")) }
-func (a *api) force(c *call) (any, error)     { return a.operations.Force(c.ctx, c.path("name")) }
+func (a *api) force(c *call) (any, error)     { return a.operations.InForce(c.ctx, c.path("name")) }
 func (a *api) instances(c *call) (any, error) { return a.operations.Instances(c.ctx) }
 func (a *api) targets(c *call) (any, error)   { return a.operations.Targets(c.ctx) }
 func (a *api) status(c *call) (any, error)    { return a.operations.Status(c.ctx) }
--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -11,8 +11,8 @@
 	"lynxhill.example/lynxhill/internal/routing"
 )
 
-// Entry describes a request that asks for admission to the instance.
-type Entry struct {
+// AdmitRequest describes a request that asks for admission to the instance.
+type AdmitRequest struct {
 	Organisation string
 	Profile      string
 	Priority     int
@@ -24,24 +24,24 @@
 	// Admit admits a request, or refuses it immediately with OrganisationLimit,
 	// Overloaded, Isolated or DeadlineUnreachable. The caller must call leave when
 	// the request has ended.
-	Admit(ctx context.Context, entry Entry) (leave func(), err error)
+	Admit(ctx context.Context, entry AdmitRequest) (leave func(), err error)
 }
 
-// Want describes the slot that one attempt needs on a target.
-type Want struct {
+// SlotRequest describes the slot that one attempt needs on a target.
+type SlotRequest struct {
 	Query    routing.Query
 	Priority int
 	// Provider, if set, is the only provider that may be chosen: a stream that
 	// was begun by one model cannot be resumed by another.
 	Provider string
-	// Repeat marks a retry, resume or hedge. It is granted only within the retry
+	// Retry marks a retry, resume or hedge. It is granted only within the retry
 	// budget, so that a fault does not multiply the load.
-	Repeat bool
-	// Fault marks a retry, resume or hedge that follows a failure that is not a
+	Retry bool
+	// AfterFault marks a retry, resume or hedge that follows a failure that is not a
 	// sign of load (a connection that broke or could not be made, a target that
 	// is leaving), or that takes over from a running attempt. It is charged to a
 	// separate, larger budget.
-	Fault bool
+	AfterFault bool
 	// NoWait refuses the attempt instead of queueing it; it is set for hedges.
 	NoWait bool
 }
@@ -61,16 +61,16 @@
 	// Connection marks a failure of the connection, which says nothing about the
 	// target.
 	Connection bool
-	Outrun     bool // cancelled because an attempt on another target responded first
+	LostRace   bool // cancelled because an attempt on another target responded first
 }
 
 // Slot is the right to make one attempt on the chosen target.
 type Slot interface {
 	Choice() routing.Choice
-	// Pace reports the time per token of a stream in progress, so that a
+	// ReportPace reports the time per token of a stream in progress, so that a
 	// straggler is ejected before the streams on it have ended. It is called for
 	// unusually slow streams only.
-	Pace(perToken time.Duration)
+	ReportPace(perToken time.Duration)
 	// Done releases the slot. Only the first call has an effect.
 	Done(result Result)
 }
@@ -82,7 +82,7 @@
 	// until there is one. It refuses with NoTarget, Overloaded,
 	// DeadlineUnreachable or DeadlineBeforeRun. Error kinds that mean "not run"
 	// are about this attempt only.
-	Acquire(ctx context.Context, want Want) (Slot, error)
+	Acquire(ctx context.Context, want SlotRequest) (Slot, error)
 	// Timeouts returns how long to wait for the first byte and between frames for
 	// the choice, derived from the latency distribution of the target, and after
 	// how long to hedge (0: not at all).
@@ -94,17 +94,17 @@
 
 // Timeouts are the time limits of one attempt.
 type Timeouts struct {
-	FirstByte time.Duration
-	Progress  time.Duration
-	HedgeAt   time.Duration
-	// Usual holds the typical values of the stage over all targets; zero while
+	FirstByte  time.Duration
+	Progress   time.Duration
+	HedgeDelay time.Duration
+	// Typical holds the typical values of the stage over all targets; zero while
 	// there are too few samples.
-	Usual Usual
+	Typical Typical
 }
 
-// Usual holds typical values of a stage that streams, over all targets: the
+// Typical holds typical values of a stage that streams, over all targets: the
 // medians of the times and the mean length of an answer.
-type Usual struct {
+type Typical struct {
 	FirstByte time.Duration
 	PerToken  time.Duration
 	Tokens    int // of a complete answer
--- a/internal/admission/admitter.go
+++ b/internal/admission/admitter.go
@@ -103,8 +103,8 @@
 // InFlight returns the number of requests in flight.
 func (a *InstanceAdmitter) InFlight() int { return int(a.inFlight.Load()) }
 
-// Room returns the free fraction of the cap, 0 to 1.
-func (a *InstanceAdmitter) Room() float64 {
+// FreeShare returns the free fraction of the cap, 0 to 1.
+func (a *InstanceAdmitter) FreeShare() float64 {
 	return max(0, 1-float64(a.inFlight.Load())/float64(a.options.MaxInFlight))
 }
 
@@ -116,7 +116,7 @@
 
 // Admit implements Admitter. A refusal costs two table look-ups and does not
 // wait for anything.
-func (a *InstanceAdmitter) Admit(_ context.Context, entry Entry) (func(), error) {
+func (a *InstanceAdmitter) Admit(_ context.Context, entry AdmitRequest) (func(), error) {
 	now := a.options.Clock.Now()
 	self, _ := a.options.Board.Self.Get(board.SelfRow)
 	if !self.MayAdmit() || a.options.MayServe != nil && !a.options.MayServe() {
@@ -141,7 +141,7 @@
 }
 
 // admit applies the limits, under the lock of the organisation's shard.
-func (a *InstanceAdmitter) admit(org *organisation, entry Entry, limit board.Limit, now time.Time) error {
+func (a *InstanceAdmitter) admit(org *organisation, entry AdmitRequest, limit board.Limit, now time.Time) error {
 	org.shard.mu.Lock()
 	defer org.shard.mu.Unlock()
 	org.pins--
@@ -222,7 +222,7 @@
 	case state == notShedding:
 	case state == sheddingUnlogged && a.shedding.CompareAndSwap(sheddingUnlogged, sheddingLogged):
 		a.options.Logger.Log(event.AdmissionShedding, "in_flight", a.InFlight(), "cap", a.options.MaxInFlight)
-	case state == sheddingLogged && a.Room() > sheddingEndHeadroom && a.shedding.CompareAndSwap(sheddingLogged, notShedding):
+	case state == sheddingLogged && a.FreeShare() > sheddingEndHeadroom && a.shedding.CompareAndSwap(sheddingLogged, notShedding):
 		a.options.Logger.Log(event.AdmissionShedOver, "in_flight", a.InFlight())
 	}
 }
--- a/internal/admission/admitter_test.go
+++ b/internal/admission/admitter_test.go
@@ -20,7 +20,7 @@
 // admitMany admits requests until the first refusal, at most n.
 func admitMany(d *InstanceAdmitter, organisation string, priority, n int) (leaves []func(), err error) {
 	for range n {
-		leave, err := d.Admit(context.Background(), Entry{Organisation: organisation, Priority: priority})
+		leave, err := d.Admit(context.Background(), AdmitRequest{Organisation: organisation, Priority: priority})
 		if err != nil {
 			return leaves, err
 		}
@@ -43,8 +43,8 @@
 		leave()
 		leave() // the second call must have no effect
 	}
-	if d.InFlight() != 0 || d.Room() != 1 {
-		t.Errorf("in flight %d, free fraction %g after all requests ended", d.InFlight(), d.Room())
+	if d.InFlight() != 0 || d.FreeShare() != 1 {
+		t.Errorf("in flight %d, free fraction %g after all requests ended", d.InFlight(), d.FreeShare())
 	}
 }
 
--- a/internal/admission/bench_test.go
+++ b/internal/admission/bench_test.go
@@ -38,7 +38,7 @@
 	for _, n := range []int{100, 1000, 5000, 19000} {
 		b.Run(fmt.Sprintf("organisations=%d", n), func(b *testing.B) {
 			q := newQueue()
-			wants := make([]Want, n)
+			wants := make([]SlotRequest, n)
 			for i := range n {
 				wants[i] = wantOf(fmt.Sprintf("org-%d", i), time.Time{})
 				q.push(&waiter{want: &wants[i], provider: wants[i].Query.Stage.Providers[0]})
@@ -62,9 +62,9 @@
 	for _, n := range []int{100, 1000, 5000, 19000} {
 		b.Run(fmt.Sprintf("organisations=%d", n), func(b *testing.B) {
 			d, bd := newTestAdmitter(1000)
-			entries := make([]Entry, n)
+			entries := make([]AdmitRequest, n)
 			for i := range n {
-				entries[i] = Entry{Organisation: fmt.Sprintf("org-%d", i), Priority: 5}
+				entries[i] = AdmitRequest{Organisation: fmt.Sprintf("org-%d", i), Priority: 5}
 				bd.Limits.Put(entries[i].Organisation, board.Limit{RatePerSecond: 1e9, Concurrent: 10})
 			}
 			before := heapBytes()
@@ -83,7 +83,7 @@
 	}
 }
 
-func admitAndRelease(b *testing.B, d *InstanceAdmitter, e Entry) {
+func admitAndRelease(b *testing.B, d *InstanceAdmitter, e AdmitRequest) {
 	leave, err := d.Admit(context.Background(), e)
 	if err != nil {
 		b.Fatal(err)
@@ -97,7 +97,7 @@
 	bd.Limits.Put("a", board.Limit{Concurrent: -1})
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, err := d.Admit(context.Background(), Entry{Organisation: "a"}); err == nil {
+		if _, err := d.Admit(context.Background(), AdmitRequest{Organisation: "a"}); err == nil {
 			b.Fatal("admitted over the limit")
 		}
 	}
--- a/internal/admission/budget.go
+++ b/internal/admission/budget.go
@@ -56,7 +56,7 @@
 func (b *retryBudget) takeRetry(now time.Time, l *GateLimits) bool {
 	b.advance(now, l.RetryWindow)
 	total := b.totals()
-	if float64(total.retries+1) > max(float64(l.RetryMin), l.RepeatShare*float64(total.first)) {
+	if float64(total.retries+1) > max(float64(l.RetryMin), l.RetryShare*float64(total.first)) {
 		return false
 	}
 	b.current().retries++
@@ -70,7 +70,7 @@
 func (b *retryBudget) takeHedge(now time.Time, l *GateLimits) bool {
 	b.advance(now, l.RetryWindow)
 	total := b.totals()
-	if float64(total.hedges+1) > hedgeShare*max(float64(l.RetryMin), l.RepeatShare*float64(total.first)) || !b.takeRetry(now, l) {
+	if float64(total.hedges+1) > hedgeShare*max(float64(l.RetryMin), l.RetryShare*float64(total.first)) || !b.takeRetry(now, l) {
 		return false
 	}
 	b.current().hedges++
--- a/internal/admission/dispatch.go
+++ b/internal/admission/dispatch.go
@@ -7,7 +7,7 @@
 	"lynxhill.example/lynxhill/internal/routing"
 )
 
-func (s *service) enqueue(want *Want, provider profile.Provider) (*waiter, error) {
+func (s *service) enqueue(want *SlotRequest, provider profile.Provider) (*waiter, error) {
 	w := &waiter{
 		want:     want,
 		provider: provider,
--- a/internal/admission/ejection_test.go
+++ b/internal/admission/ejection_test.go
@@ -134,7 +134,7 @@
 		r := newRig(4, GateLimits{})
 		try := func(repeat bool) bool {
 			w := wantOf("a", time.Time{})
-			w.Repeat = repeat
+			w.Retry = repeat
 			s, err := r.gate.Acquire(context.Background(), w)
 			if err != nil {
 				if !errkind.Is(err, errkind.Overloaded) {
@@ -178,12 +178,12 @@
 		}
 		got := r.gate.Timeouts(first.Choice(), w.Query)
 		near := func(d, want time.Duration) bool { return d > want*95/100 && d < want*105/100 }
-		if !near(got.FirstByte, 1200*time.Millisecond) || !near(got.Progress, 1500*time.Millisecond) || !near(got.HedgeAt, 400*time.Millisecond) {
+		if !near(got.FirstByte, 1200*time.Millisecond) || !near(got.Progress, 1500*time.Millisecond) || !near(got.HedgeDelay, 400*time.Millisecond) {
 			t.Errorf("timeouts %+v, want three times the measured times and a hedge at the measured time to first byte", got)
 		}
 		w.Query.Stage.Idempotent = false
-		if got = r.gate.Timeouts(first.Choice(), w.Query); got.HedgeAt != 0 {
-			t.Errorf("a stage that isn't idempotent is hedged at %s", got.HedgeAt)
+		if got = r.gate.Timeouts(first.Choice(), w.Query); got.HedgeDelay != 0 {
+			t.Errorf("a stage that isn't idempotent is hedged at %s", got.HedgeDelay)
 		}
 		if q, ok := r.gate.Quantile("pool", "draft", 0.5); !ok || !near(q, time.Second) {
 			t.Errorf("median %s %v, want 1 s", q, ok)
@@ -204,18 +204,18 @@
 		}
 		first, second := acquire(t, r.gate, wantOf("a", time.Time{})), acquire(t, r.gate, wantOf("a", time.Time{}))
 		state := func(s Slot) *ejection { return &s.(*slot).state.ejection }
-		first.Pace(2 * usual)
-		first.Pace(8 * usual)
+		first.ReportPace(2 * usual)
+		first.ReportPace(8 * usual)
 		if state(first).ejections != 0 {
 			t.Error("one slow stream ejected its target")
 		}
-		first.Pace(8 * usual)
+		first.ReportPace(8 * usual)
 		if state(first).ejections != 1 {
 			t.Error("the straggler was not ejected while its streams are open")
 		}
-		second.Pace(8 * usual)
-		second.Pace(usual)
-		second.Pace(8 * usual)
+		second.ReportPace(8 * usual)
+		second.ReportPace(usual)
+		second.ReportPace(8 * usual)
 		if state(second).ejections != 0 {
 			t.Error("a target with a stream at the usual pace in between was ejected")
 		}
--- a/internal/admission/fairness_test.go
+++ b/internal/admission/fairness_test.go
@@ -97,7 +97,7 @@
 		organisation = "all"
 	}
 	deadline := time.Now().Add(trialDeadline)
-	leave, err := admitter.Admit(context.Background(), Entry{Organisation: organisation, Priority: 5, Deadline: deadline})
+	leave, err := admitter.Admit(context.Background(), AdmitRequest{Organisation: organisation, Priority: 5, Deadline: deadline})
 	if err != nil {
 		return false
 	}
--- a/internal/admission/gate.go
+++ b/internal/admission/gate.go
@@ -55,7 +55,7 @@
 		chooser: &routing.Chooser{
 			Board:  o.Board,
 			Index:  routing.NewIndex(o.Board),
-			Place:  o.Place,
+			Zone:   o.Zone,
 			Region: o.Region,
 			Tuning: routing.DefaultTuning(),
 		},
@@ -99,7 +99,7 @@
 // and goes on to the next only if a provider has no target at all for the call:
 // falling back from a provider that is only busy would defeat the operator's
 // weights.
-func (g *ServiceGate) Acquire(ctx context.Context, want Want) (Slot, error) {
+func (g *ServiceGate) Acquire(ctx context.Context, want SlotRequest) (Slot, error) {
 	if err := ctx.Err(); err != nil {
 		return nil, waitError(err)
 	}
@@ -135,7 +135,7 @@
 	return nil, errkind.New(errkind.Isolated, "after a pause this instance has not confirmed its configuration yet")
 }
 
-func (g *ServiceGate) acquire(ctx context.Context, want *Want, s *service, provider profile.Provider) (*slot, error) {
+func (g *ServiceGate) acquire(ctx context.Context, want *SlotRequest, s *service, provider profile.Provider) (*slot, error) {
 	s.lock(g.options.Clock)
 	granted, w, err := s.acquireOrEnqueue(want, provider)
 	s.unlock()
--- a/internal/admission/gate_test.go
+++ b/internal/admission/gate_test.go
@@ -34,7 +34,7 @@
 		Board:  r.board,
 		Clock:  quartz.NewReal(),
 		Rand:   rand.New(rand.NewPCG(7, 11)),
-		Place:  "a",
+		Zone:   "a",
 		Region: "r",
 		Limits: limits,
 		Check:  invariant.New(r.collector),
@@ -43,7 +43,7 @@
 }
 
 func (r *rig) addTarget(id string) {
-	r.board.Targets.Put(id, board.Target{ID: id, Service: "pool", Kind: profile.KindGenerate, Place: "a", Region: "r"})
+	r.board.Targets.Put(id, board.Target{ID: id, Service: "pool", Kind: profile.KindGenerate, Zone: "a", Region: "r"})
 }
 
 // report puts a load report on the board, as the load view does.
@@ -52,17 +52,17 @@
 	r.board.Loads.Put(report.Target, board.Load{Report: report, Received: now, At: now})
 }
 
-func wantOf(organisation string, deadline time.Time) Want {
+func wantOf(organisation string, deadline time.Time) SlotRequest {
 	stage := profile.Stage{
 		Name:       "draft",
 		Kind:       profile.KindGenerate,
 		Idempotent: true,
 		Providers:  []profile.Provider{{Name: "p", Service: "pool", Weight: 1}},
 	}
-	return Want{Query: routing.Query{Stage: stage, Organisation: organisation, Deadline: deadline}}
+	return SlotRequest{Query: routing.Query{Stage: stage, Organisation: organisation, Deadline: deadline}}
 }
 
-func acquire(t *testing.T, g *ServiceGate, w Want) Slot {
+func acquire(t *testing.T, g *ServiceGate, w SlotRequest) Slot {
 	t.Helper()
 	s, err := g.Acquire(context.Background(), w)
 	if err != nil {
@@ -155,7 +155,7 @@
 		time.Sleep(time.Second)
 		early.Done(Result{Refused: true, Leaving: true})
 		target, _ := r.board.Targets.Get("t000")
-		if !target.Leaving || !target.LeavingSince.Equal(time.Now()) || !target.Sign().Equal(time.Now().Add(-time.Second)) {
+		if !target.Leaving || !target.LeavingSince.Equal(time.Now()) || !target.LeavingSignTime().Equal(time.Now().Add(-time.Second)) {
 			t.Errorf("after a refusal as leaving: %+v", target)
 		}
 		target.Leaving, target.LiveSince = false, time.Now()
@@ -173,7 +173,7 @@
 func TestAcquireKeepsTheRequiredProvider(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(1, GateLimits{})
-		r.board.Targets.Put("u000", board.Target{ID: "u000", Service: "other", Kind: profile.KindGenerate, Place: "a", Region: "r"})
+		r.board.Targets.Put("u000", board.Target{ID: "u000", Service: "other", Kind: profile.KindGenerate, Zone: "a", Region: "r"})
 		w := wantOf("a", time.Time{})
 		w.Query.Stage.Providers = []profile.Provider{{Name: "p", Service: "pool", Weight: 1}, {Name: "q", Service: "other", Weight: 1}}
 		w.Query.Exclude = []string{"t000"}
@@ -199,7 +199,7 @@
 			n := 0
 			for range 20 {
 				w := wantOf("a", time.Time{})
-				w.Repeat, w.Fault, w.NoWait = true, fault, hedge
+				w.Retry, w.AfterFault, w.NoWait = true, fault, hedge
 				if s, err := r.gate.Acquire(t.Context(), w); err == nil {
 					s.Done(Result{OK: true, Duration: time.Millisecond})
 					n++
--- a/internal/admission/limiter_test.go
+++ b/internal/admission/limiter_test.go
@@ -51,7 +51,7 @@
 		for i := 1; i < gates; i++ {
 			all = append(all, NewGate(GateOptions{
 				Board: r.board, Clock: quartz.NewReal(), Rand: rand.New(rand.NewPCG(uint64(i), 4)),
-				Place: "a", Region: "r", Policy: routing.PolicyTwoChoices, Limits: limits,
+				Zone: "a", Region: "r", Policy: routing.PolicyTwoChoices, Limits: limits,
 			}))
 		}
 		var group sync.WaitGroup
--- a/internal/admission/options.go
+++ b/internal/admission/options.go
@@ -19,7 +19,7 @@
 	Board  *board.Board
 	Clock  clock.Clock
 	Rand   *rand.Rand // used only while the gate is locked; seeds one source per service
-	Place  string
+	Zone   string
 	Region string
 	Policy routing.Policy
 	Limits GateLimits // zero fields take the defaults
@@ -50,10 +50,10 @@
 	FreshLoad time.Duration
 	// Queue bounds the waiters of a service.
 	Queue int
-	// RepeatShare is the share of first attempts that may be retried within
+	// RetryShare is the share of first attempts that may be retried within
 	// RetryWindow, resumes and hedges included. RetryMin is the number of retries
 	// that is always allowed.
-	RepeatShare float64
+	RetryShare  float64
 	RetryMin    int
 	RetryWindow time.Duration
 	// FaultRetryShare and FaultRetryMin are the same for retries after failures
@@ -96,7 +96,7 @@
 		LatencyTolerance: 3,
 		FreshLoad:        time.Second,
 		Queue:            1024,
-		RepeatShare:      0.1,
+		RetryShare:       0.1,
 		RetryMin:         5,
 		RetryWindow:      10 * time.Second,
 		FaultRetryShare:  0.5,
@@ -127,7 +127,7 @@
 	defaults.Set(&l.LatencyTolerance, d.LatencyTolerance)
 	defaults.Set(&l.FreshLoad, d.FreshLoad)
 	defaults.Set(&l.Queue, d.Queue)
-	defaults.Set(&l.RepeatShare, d.RepeatShare)
+	defaults.Set(&l.RetryShare, d.RetryShare)
 	defaults.Set(&l.RetryMin, d.RetryMin)
 	defaults.Set(&l.RetryWindow, d.RetryWindow)
 	defaults.Set(&l.FaultRetryShare, d.FaultRetryShare)
@@ -160,8 +160,8 @@
 		return fmt.Errorf("gate limits: LatencyTolerance %g is not above 1", l.LatencyTolerance)
 	case l.Queue < 1:
 		return fmt.Errorf("gate limits: Queue %d is below 1", l.Queue)
-	case l.RepeatShare < 0 || l.RepeatShare > 1:
-		return fmt.Errorf("gate limits: the share of retries %g is not between 0 and 1", l.RepeatShare)
+	case l.RetryShare < 0 || l.RetryShare > 1:
+		return fmt.Errorf("gate limits: the share of retries %g is not between 0 and 1", l.RetryShare)
 	case l.FaultRetryShare < 0 || l.FaultRetryShare > 1:
 		return fmt.Errorf("gate limits: the share of retries after faults %g is not between 0 and 1", l.FaultRetryShare)
 	case l.EjectShare < 0 || l.EjectShare > 0.5:
--- a/internal/admission/property_test.go
+++ b/internal/admission/property_test.go
@@ -110,7 +110,7 @@
 
 func (k *soak) attempt(p soakPlan) {
 	deadline := time.Now().Add(p.deadline)
-	leave, err := k.admitter.Admit(context.Background(), Entry{Organisation: p.organisation, Priority: p.priority, Deadline: deadline})
+	leave, err := k.admitter.Admit(context.Background(), AdmitRequest{Organisation: p.organisation, Priority: p.priority, Deadline: deadline})
 	if err != nil {
 		return
 	}
@@ -124,7 +124,7 @@
 		defer time.AfterFunc(p.cancelAfter, cancel).Stop()
 	}
 	want := wantOf(p.organisation, deadline)
-	want.Priority, want.Repeat, want.NoWait = p.priority, p.repeat, p.noWait
+	want.Priority, want.Retry, want.NoWait = p.priority, p.repeat, p.noWait
 	asked := time.Now()
 	s, err := k.r.gate.Acquire(ctx, want)
 	if p.noWait && time.Since(asked) > 0 {
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -18,7 +18,7 @@
 	hasExclusions bool // the query excludes some targets
 }
 
-func flowKeyOf(want *Want, p profile.Provider) flowKey {
+func flowKeyOf(want *SlotRequest, p profile.Provider) flowKey {
 	return flowKey{
 		organisation:  want.Query.Organisation,
 		model:         p.Model,
@@ -31,7 +31,7 @@
 // waiter is an attempt that waits for a slot. It is guarded by the lock of its
 // service; ready is closed once slot or err is set.
 type waiter struct {
-	want     *Want
+	want     *SlotRequest
 	provider profile.Provider
 	priority int
 	deadline time.Time // zero: none
--- a/internal/admission/service.go
+++ b/internal/admission/service.go
@@ -45,7 +45,7 @@
 	all               stageStats
 	queue             *queue
 	budget            retryBudget
-	mean              routing.Mean
+	mean              routing.ServiceMean
 	meanAt            time.Time // when mean was computed
 	dispatchScheduled bool      // a call of dispatchWaiting is scheduled
 	inFlight          int
@@ -103,7 +103,7 @@
 	switch {
 	case r.OK && r.PerToken > 0 && st.medianPerToken > 0:
 		return float64(r.PerToken) / float64(st.medianPerToken), slowPaceScore
-	case r.Outrun && r.FirstByte == 0 && st.medianFirstByte > 0:
+	case r.LostRace && r.FirstByte == 0 && st.medianFirstByte > 0:
 		return float64(r.Duration) / float64(st.medianFirstByte), lateStartScore
 	case r.OK && r.FirstByte > 0 && r.FirstByte <= st.medianFirstByte:
 		return 1, lateStartScore
@@ -143,10 +143,10 @@
 }
 
 // choose runs the chooser with this service's local view of the targets.
-func (s *service) choose(want *Want, provider profile.Provider) (routing.Choice, routing.Verdict) {
+func (s *service) choose(want *SlotRequest, provider profile.Provider) (routing.Choice, routing.Verdict) {
 	s.refreshMean()
 	s.turn++
-	return s.gate.chooser.Choose(routing.Pick{
+	return s.gate.chooser.Choose(routing.ChooseParams{
 		Query:    &want.Query,
 		Provider: provider,
 		Policy:   s.policy,
@@ -165,7 +165,7 @@
 		return
 	}
 	s.meanAt = s.now
-	s.mean = routing.Mean{Service: s.all.median}
+	s.mean = routing.ServiceMean{Service: s.all.median}
 	listed := s.gate.chooser.Index.Service(s.name)
 	if listed == nil {
 		return
@@ -195,7 +195,7 @@
 
 // acquireOrEnqueue grants a slot immediately, refuses the attempt, or returns
 // its waiter in the queue.
-func (s *service) acquireOrEnqueue(want *Want, provider profile.Provider) (*slot, *waiter, error) {
+func (s *service) acquireOrEnqueue(want *SlotRequest, provider profile.Provider) (*slot, *waiter, error) {
 	if err := s.checkDeadline(want); err != nil {
 		return nil, nil, err
 	}
@@ -220,7 +220,7 @@
 
 // checkDeadline refuses an attempt that would not finish in time even if it ran
 // fast.
-func (s *service) checkDeadline(want *Want) error {
+func (s *service) checkDeadline(want *SlotRequest) error {
 	deadline := want.Query.Deadline
 	if deadline.IsZero() {
 		return nil
@@ -237,14 +237,14 @@
 
 // chargeRetryBudget charges a retry, resume or hedge to its budget, or counts a
 // first attempt.
-func (s *service) chargeRetryBudget(want *Want) error {
-	if !want.Repeat {
+func (s *service) chargeRetryBudget(want *SlotRequest) error {
+	if !want.Retry {
 		s.budget.countFirst(s.now, s.limits)
 		return nil
 	}
 	take := s.budget.takeRetry
 	switch {
-	case want.Fault:
+	case want.AfterFault:
 		take = s.budget.takeFaultRetry
 	case want.NoWait:
 		take = s.budget.takeHedge
@@ -261,7 +261,7 @@
 	return errkind.WithRetryAfter(err, s.retryAfter())
 }
 
-func (s *service) deadlineUnreachable(want *Want, wait time.Duration) error {
+func (s *service) deadlineUnreachable(want *SlotRequest, wait time.Duration) error {
 	s.gate.counts.unreachable.Add(1)
 	err := errkind.New(errkind.DeadlineUnreachable, "stage %s would not finish in time", want.Query.Stage.Name)
 	return errkind.WithRetryAfter(err, max(wait, s.retryAfter()))
--- a/internal/admission/slot.go
+++ b/internal/admission/slot.go
@@ -23,8 +23,8 @@
 // Choice implements Slot.
 func (s *slot) Choice() routing.Choice { return s.choice }
 
-// Pace implements Slot.
-func (s *slot) Pace(perToken time.Duration) { s.service.recordPace(s, perToken) }
+// ReportPace implements Slot.
+func (s *slot) ReportPace(perToken time.Duration) { s.service.recordPace(s, perToken) }
 
 // Done implements Slot. Only the first call counts.
 func (s *slot) Done(result Result) {
@@ -35,7 +35,7 @@
 }
 
 // grant creates a slot on the chosen target and charges its organisation.
-func (s *service) grant(want *Want, choice routing.Choice) *slot {
+func (s *service) grant(want *SlotRequest, choice routing.Choice) *slot {
 	s.assertNotLeaving(choice)
 	t := s.target(choice.Target.ID)
 	t.begin(s.now)
--- a/internal/admission/target.go
+++ b/internal/admission/target.go
@@ -62,18 +62,18 @@
 }
 
 // Local implements routing.LocalView. The caller must hold the service's lock.
-func (s *service) Local(id string, load board.Load, reported bool) routing.Local {
+func (s *service) Local(id string, load board.Load, reported bool) routing.LocalState {
 	t := s.targets[id]
 	if t == nil {
-		return routing.Local{Full: reported && s.reportedFull(load, 0, 0)}
+		return routing.LocalState{Full: reported && s.reportedFull(load, 0, 0)}
 	}
-	local := routing.Local{InFlight: t.inFlight(), Median: t.median}
+	local := routing.LocalState{InFlight: t.inFlight(), Median: t.median}
 	if reported {
-		local.SentSince = t.sentSince(load.At)
+		local.SentSinceReport = t.sentSince(load.At)
 	}
 	local.Ejected = t.ejection.excluded(s.now, local.InFlight)
 	local.Full = local.InFlight >= t.limiter.maxInFlight(load.Report.Slots, s.limits) ||
-		reported && s.reportedFull(load, local.SentSince, t.median)
+		reported && s.reportedFull(load, local.SentSinceReport, t.median)
 	return local
 }
 
--- a/internal/admission/timeouts.go
+++ b/internal/admission/timeouts.go
@@ -31,9 +31,9 @@
 		Progress:  clamp(timeoutFactor*gap, gapKnown, l.ProgressFloor, l.ProgressCeil),
 	}
 	if query.Stage.Idempotent {
-		out.HedgeAt = s.hedgeDelay(st)
+		out.HedgeDelay = s.hedgeDelay(st)
 	}
-	out.Usual = s.typical(st)
+	out.Typical = s.typical(st)
 	return out
 }
 
@@ -41,14 +41,14 @@
 // the stage has too few samples: the time per token is similar in all stages. It
 // returns zero until the time per token and the time to the first byte are both
 // measured.
-func (s *service) typical(st *stageStats) Usual {
+func (s *service) typical(st *stageStats) Typical {
 	if st.medianPerToken == 0 || st.medianFirstByte == 0 {
 		st = &s.all
 	}
 	if st.medianPerToken == 0 || st.medianFirstByte == 0 {
-		return Usual{}
+		return Typical{}
 	}
-	return Usual{FirstByte: st.medianFirstByte, PerToken: st.medianPerToken, Tokens: int(st.tokens)}
+	return Typical{FirstByte: st.medianFirstByte, PerToken: st.medianPerToken, Tokens: int(st.tokens)}
 }
 
 // hedgeDelay derives the delay from the stage over all targets: by a straggler's
--- a/internal/allowance/allowance.go
+++ b/internal/allowance/allowance.go
@@ -76,8 +76,8 @@
 	return a.instances
 }
 
-// May reports whether this instance may send a request to the target now.
-func (a *Allowance) May(target string, rate float64) bool {
+// Allows reports whether this instance may send a request to the target now.
+func (a *Allowance) Allows(target string, rate float64) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.may(target, rate, a.o.Clock.Now())
--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -156,7 +156,7 @@
 	properties := gopter.NewProperties(parameters)
 	properties.Property("some lists miss as many instances as there are extra requests", prop.ForAll(
 		func(seed uint64, n int, rate float64) bool {
-			most := maxSentWithin(t, seed, n, extra, Named(), rate, within)
+			most := maxSentWithin(t, seed, n, extra, Stated(), rate, within)
 			return float64(most) <= slack*rate*within.Seconds()+extra
 		},
 		gen.UInt64(), gen.OneConstOf(1, 3, 7, 8, 58, 78, 295), gen.OneConstOf(0.0, 0.1, 0.5, 1.0, 1.2, 7.5, 40.0)))
@@ -168,7 +168,7 @@
 		rate float64
 		want int
 	}{{0, 1}, {0.1, 1}, {0.5, 2}, {1.2, 4}, {1.25, 5}, {40, 160}, {1e300, 4e6}} {
-		if got := Named().Requests(c.rate); got != c.want {
+		if got := Stated().Requests(c.rate); got != c.want {
 			t.Errorf("rate %v: %d in a span, want %d", c.rate, got, c.want)
 		}
 	}
--- a/internal/allowance/bound.go
+++ b/internal/allowance/bound.go
@@ -51,10 +51,10 @@
 	statedLimitSpan = statedLimitPeriod + 200*time.Millisecond
 )
 
-// Named returns the bound for a limit that a target states in its responses. At
+// Stated returns the bound for a limit that a target states in its responses. At
 // least one request per Span is always allowed: a target that receives no
 // requests cannot report that its limit has ended.
-func Named() Bound {
+func Stated() Bound {
 	return Bound{Span: statedLimitSpan, Requests: func(rate float64) int {
 		return int(max(math.Floor(min(rate, maxRate)*statedLimitPeriod.Seconds()), 1))
 	}}
--- a/internal/auth/auth.go
+++ b/internal/auth/auth.go
@@ -122,8 +122,8 @@
 // Run reads the token file again whenever it changes, until ctx ends.
 func (v *Verifier) Run(ctx context.Context) {
 	filewatch.Watch{
-		Files: v.files(), Every: v.opts.PollEvery, Clock: v.opts.Clock,
-		Used: v.used, Reload: v.Reload, Done: v.reloaded,
+		Files: v.files(), Interval: v.opts.PollEvery, Clock: v.opts.Clock,
+		LoadedState: v.used, Reload: v.Reload, OnReload: v.reloaded,
 	}.Run(ctx)
 }
 
--- a/internal/bench/arrivals.go
+++ b/internal/bench/arrivals.go
@@ -47,10 +47,10 @@
 	defaults.Set(&a.Kind, ArrivalsPoisson)
 	defaults.Positive(&a.BurstFactor, defaultBurstFactor)
 	if a.BurstEvery.Duration <= 0 {
-		a.BurstEvery = config.Of(defaultBurstEvery)
+		a.BurstEvery = config.DurationOf(defaultBurstEvery)
 	}
 	if a.BurstFor.Duration <= 0 {
-		a.BurstFor = config.Of(defaultBurstFor)
+		a.BurstFor = config.DurationOf(defaultBurstFor)
 	}
 	return a
 }
--- a/internal/bench/arrivals_test.go
+++ b/internal/bench/arrivals_test.go
@@ -54,7 +54,7 @@
 }
 
 func TestBurstsComeWhenTheyShould(t *testing.T) {
-	a := Arrivals{Kind: ArrivalsBursts, BurstFactor: 4, BurstEvery: config.Of(10 * time.Second), BurstFor: config.Of(2 * time.Second)}
+	a := Arrivals{Kind: ArrivalsBursts, BurstFactor: 4, BurstEvery: config.DurationOf(10 * time.Second), BurstFor: config.DurationOf(2 * time.Second)}
 	inBurst, outside := 0, 0
 	for _, at := range drawn(t, a, 1) {
 		if at%(10*time.Second) >= 8*time.Second {
--- a/internal/bench/attach.go
+++ b/internal/bench/attach.go
@@ -53,8 +53,8 @@
 // Deployment is the name of the deployment.
 func (a *Attached) Deployment() string { return a.Layout.Deployment }
 
-// Places are the deployment's availability zones.
-func (a *Attached) Places() []string { return a.Layout.Places }
+// Zones are the deployment's availability zones.
+func (a *Attached) Zones() []string { return a.Layout.Zones }
 
 // Caller returns a client of an organisation.
 func (a *Attached) Caller(organisation, zone string) *client.Caller {
@@ -63,8 +63,8 @@
 		servers = append(servers, i.Caller)
 	}
 	return client.NewCaller(client.CallerOptions{
-		Servers: servers, Token: a.Layout.CallerTokens[organisation], Place: zone, Region: a.Layout.Region,
-		Silence: callerSilence, Tickets: a.tickets,
+		Servers: servers, Token: a.Layout.CallerTokens[organisation], Zone: zone, Region: a.Layout.Region,
+		IdleTimeout: callerSilence, Tickets: a.tickets,
 	})
 }
 
--- a/internal/bench/attach_load.go
+++ b/internal/bench/attach_load.go
@@ -157,8 +157,8 @@
 	return Results{
 		Experiment: Experiment{
 			Name: loadName, About: fmt.Sprintf("%s arrivals, %g requests a second for %s", r.Load.Arrivals.withDefaults().Kind, r.Load.Rate, r.Load.Duration),
-			Seed: r.Load.Seed, Deployments: []string{on.Deployment()}, Rate: r.Load.Rate, Duration: config.Of(r.Load.Duration),
-			Arrivals: r.Load.Arrivals, Mix: r.Load.Mix, MinWhole: r.MinWhole, PoisonEvery: config.Of(r.Load.PoisonEvery),
+			Seed: r.Load.Seed, Deployments: []string{on.Deployment()}, Rate: r.Load.Rate, Duration: config.DurationOf(r.Load.Duration),
+			Arrivals: r.Load.Arrivals, Mix: r.Load.Mix, MinWhole: r.MinWhole, PoisonEvery: config.DurationOf(r.Load.PoisonEvery),
 		},
 		Started: started.UTC(), Summaries: []Summary{s}, Interrupted: interrupted(ctx),
 	}
--- a/internal/bench/capacity_node.go
+++ b/internal/bench/capacity_node.go
@@ -59,7 +59,7 @@
 		return err
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	node := &Instance{ID: cfg.Instance.ID, Place: cfg.Instance.Place, Daemon: d, stop: stop, done: make(chan struct{})}
+	node := &Instance{ID: cfg.Instance.ID, Zone: cfg.Instance.Zone, Daemon: d, stop: stop, done: make(chan struct{})}
 	go func() {
 		defer close(node.done)
 		_ = d.Run(ctx) // its errors are in the log
--- a/internal/bench/cluster.go
+++ b/internal/bench/cluster.go
@@ -133,8 +133,8 @@
 // Caller returns a client of an organisation.
 func (c *Cluster) Caller(organisation, zone string) *client.Caller {
 	return client.NewCaller(client.CallerOptions{
-		Servers: c.callerAddrs(), Token: c.callers[organisation], Place: zone, Region: c.Fleet.Region,
-		Silence: callerSilence, Tickets: c.opts.Tickets,
+		Servers: c.callerAddrs(), Token: c.callers[organisation], Zone: zone, Region: c.Fleet.Region,
+		IdleTimeout: callerSilence, Tickets: c.opts.Tickets,
 	})
 }
 
--- a/internal/bench/demo.go
+++ b/internal/bench/demo.go
@@ -109,7 +109,7 @@
 		d.profiles[name][p.Name] = p
 	}
 	d.printf("%s: %d targets in %s, %d instances, profiles %s\n", name, len(c.Fleet.Members()),
-		strings.Join(c.Fleet.Places, ", "), d.opts.Instances, profileNames(list))
+		strings.Join(c.Fleet.Zones, ", "), d.opts.Instances, profileNames(list))
 	return nil
 }
 
@@ -176,7 +176,7 @@
 	c := d.clusters[r.deployment]
 	prof := d.profiles[r.deployment][r.profile]
 	started := time.Now()
-	result, err := c.Caller(r.organisation, c.Fleet.Places[0]).Send(ctx, r.profile, lynxapi.SendRequest{
+	result, err := c.Caller(r.organisation, c.Fleet.Zones[0]).Send(ctx, r.profile, lynxapi.SendRequest{
 		Organisation: r.organisation, Key: key, Input: input, Stream: true,
 	}, deliver)
 	d.count(r.profile, err == nil, time.Since(started) <= prof.Deadline)
--- a/internal/bench/experiment.go
+++ b/internal/bench/experiment.go
@@ -135,7 +135,7 @@
 		e.Rate = defaultRate
 	}
 	if e.Duration.Duration == 0 {
-		e.Duration = config.Of(defaultDuration)
+		e.Duration = config.DurationOf(defaultDuration)
 	}
 	if e.MinWhole == 0 {
 		e.MinWhole = defaultMinWhole
--- a/internal/bench/fault.go
+++ b/internal/bench/fault.go
@@ -52,7 +52,7 @@
 	"restart_all":      {"kill all instances at once and start them again", restartAll},
 	"partition":        {"cut the instances in two halves; the platform stays with the first", partition},
 	"partition_oneway": {"the first half does not reach the second", partitionOneWay},
-	"place_loss":       {"kill every instance and target of a zone", placeLoss},
+	"place_loss":       {"kill every instance and target of a zone", zoneLoss},
 	"store_outage":     {"the platform refuses every call", storeRefuses},
 	"store_hang":       {"the platform answers no call", storeHangs},
 	"store_slow":       {"the platform is slow by value seconds", storeSlow},
@@ -68,8 +68,8 @@
 	"poison":           {"some requests crash every target that runs them", poison},
 	"profile_race":     {"operators change the same profile at the same time", profileRace},
 	"lease_pause":      {"freeze the order-giver of lynx-pool for longer than its lease", leasePause},
-	"drain_place":      {"an operator drains a zone", drainPlace},
-	"evacuate_place":   {"an operator keeps new work from the targets of a zone", evacuatePlace},
+	"drain_place":      {"an operator drains a zone", drainZone},
+	"evacuate_place":   {"an operator keeps new work from the targets of a zone", evacuateZone},
 }
 
 // FaultKinds lists the kinds of faults with what they do.
--- a/internal/bench/fault_instance.go
+++ b/internal/bench/fault_instance.go
@@ -83,19 +83,19 @@
 	return func() {}, nil
 }
 
-// placeLoss kills what is in a zone; it is replaced when the fault ends.
-func placeLoss(_ context.Context, f *faultRun) (func(), error) {
+// zoneLoss kills what is in a zone; it is replaced when the fault ends.
+func zoneLoss(_ context.Context, f *faultRun) (func(), error) {
 	zone := f.Subject
 	if zone == "" {
-		zone = f.cluster.Fleet.Places[f.rng.IntN(len(f.cluster.Fleet.Places))]
+		zone = f.cluster.Fleet.Zones[f.rng.IntN(len(f.cluster.Fleet.Zones))]
 	}
-	members := f.cluster.Fleet.Place(zone)
+	members := f.cluster.Fleet.Zone(zone)
 	if len(members) == 0 {
 		return nil, fmt.Errorf("no zone %q", zone)
 	}
 	var instances []int
 	for i := range f.cluster.opts.Instances {
-		if f.cluster.placeOf(i) == zone {
+		if f.cluster.zoneOf(i) == zone {
 			instances = append(instances, i)
 		}
 	}
@@ -116,11 +116,11 @@
 	}, nil
 }
 
-func drainPlace(ctx context.Context, f *faultRun) (func(), error) {
-	return drainSubject(ctx, f, board.DrainPlace+f.Subject)
+func drainZone(ctx context.Context, f *faultRun) (func(), error) {
+	return drainSubject(ctx, f, board.DrainZone+f.Subject)
 }
 
-func evacuatePlace(ctx context.Context, f *faultRun) (func(), error) {
+func evacuateZone(ctx context.Context, f *faultRun) (func(), error) {
 	return drainSubject(ctx, f, board.DrainTargetsIn+f.Subject)
 }
 
--- a/internal/bench/fluid/fluid_test.go
+++ b/internal/bench/fluid/fluid_test.go
@@ -16,7 +16,7 @@
 func small() *Sheet {
 	return &Sheet{
 		Name:     "small",
-		Services: []Service{{"cut", 2, 10, config.Of(100 * time.Millisecond), config.Of(10 * time.Millisecond)}, {"look", 1, 1, config.Of(time.Second), config.Of(0)}},
+		Services: []Service{{"cut", 2, 10, config.DurationOf(100 * time.Millisecond), config.DurationOf(10 * time.Millisecond)}, {"look", 1, 1, config.DurationOf(time.Second), config.DurationOf(0)}},
 		Kinds: []Kind{
 			{"a", 20, 1, []Need{{"cut", 2, 0}}},
 			{"b", 10, 3, []Need{{"cut", 4, 0}}},
--- a/internal/bench/instance.go
+++ b/internal/bench/instance.go
@@ -15,7 +15,7 @@
 // Instance is a running lynxhill instance of a cluster.
 type Instance struct {
 	ID     string
-	Place  string
+	Zone   string
 	Daemon *daemon.Daemon
 
 	stop context.CancelFunc
@@ -27,19 +27,19 @@
 	return fmt.Sprintf("%s-entry-%d", c.Fleet.Name, i+1)
 }
 
-func (c *Cluster) placeOf(i int) string { return c.Fleet.Places[i%len(c.Fleet.Places)] }
+func (c *Cluster) zoneOf(i int) string { return c.Fleet.Zones[i%len(c.Fleet.Zones)] }
 
 // settings are those of the i-th instance: shorter times than the defaults, as
 // an experiment lasts seconds.
 func (c *Cluster) settings(i int) config.Config {
 	cfg := config.Default()
-	cfg.Instance = config.Instance{ID: c.InstanceID(i), Place: c.placeOf(i), Region: c.Fleet.Region}
+	cfg.Instance = config.Instance{ID: c.InstanceID(i), Zone: c.zoneOf(i), Region: c.Fleet.Region}
 	cfg.Listen = config.Listen{Caller: "127.0.0.1:0", Admin: "127.0.0.1:0", Peer: "127.0.0.1:0"}
 	cfg.Platform.Endpoints = []string{"http://" + c.Fleet.Platform.Addr()}
 	cfg.Tokens.Caller = c.tokens.Caller
 	cfg.Tokens.Operator = c.tokens.Operator
-	cfg.Timings.Keep = config.Of(benchKeep)
-	cfg.Timings.FenceAfter = config.Of(benchFenceAfter)
+	cfg.Timings.AddressTTL = config.DurationOf(benchKeep)
+	cfg.Timings.FenceAfter = config.DurationOf(benchFenceAfter)
 	if c.opts.Adjust != nil {
 		c.opts.Adjust(&cfg)
 	}
@@ -94,7 +94,7 @@
 	cfg.Listen.Caller = callerAddr
 	id := cfg.Instance.ID
 	c.Network.Revive(id)
-	c.Network.SetPlace(id, cfg.Instance.Place)
+	c.Network.SetZone(id, cfg.Instance.Zone)
 	options := daemon.Options{
 		Seed:       c.opts.Seed*1000 + uint64(i) + 1,
 		Logger:     c.logger(),
@@ -110,7 +110,7 @@
 		return nil, err
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	instance := &Instance{ID: id, Place: cfg.Instance.Place, Daemon: d, stop: stop, done: make(chan struct{})}
+	instance := &Instance{ID: id, Zone: cfg.Instance.Zone, Daemon: d, stop: stop, done: make(chan struct{})}
 	go func() {
 		defer close(instance.done)
 		_ = d.Run(ctx) // its errors are in the log
--- a/internal/bench/interrupt_test.go
+++ b/internal/bench/interrupt_test.go
@@ -36,8 +36,8 @@
 	defer cancel()
 	e := Experiment{
 		Name: "interrupted", Seed: 1, Repetitions: 2, Deployments: []string{fleet.MediaPlace}, Instances: 3, Scale: 0.1,
-		Rate: 60, Duration: config.Of(time.Minute), MinWhole: 1, Variants: []Variant{{Name: "lynxhill"}},
-		Faults: []Fault{{Kind: "instance_kill", At: config.Of(time.Second)}},
+		Rate: 60, Duration: config.DurationOf(time.Minute), MinWhole: 1, Variants: []Variant{{Name: "lynxhill"}},
+		Faults: []Fault{{Kind: "instance_kill", At: config.DurationOf(time.Second)}},
 	}
 	out := &interruptAt{text: "instance_kill began", cancel: cancel}
 	results, err := e.Run(ctx, out, io.Discard)
--- a/internal/bench/load.go
+++ b/internal/bench/load.go
@@ -49,7 +49,7 @@
 type Record struct {
 	Profile      string
 	Organisation string
-	Place        string
+	Zone         string
 	Keys         []string      // idempotency keys, see client.Result
 	At           time.Duration // intended moment since the start of the load
 	Latency      time.Duration // from the intended moment to the end
@@ -100,7 +100,7 @@
 
 // callerKey: the services of an organisation in a zone share a kept address
 // answer.
-type callerKey struct{ organisation, place string }
+type callerKey struct{ organisation, zone string }
 
 func newLoad(c System, list []profile.Profile, opts LoadOptions) (*load, error) {
 	defaults.Positive(&opts.MaxRequests, defaultMaxRequests)
@@ -133,9 +133,9 @@
 }
 
 func (l *load) addCaller(it item) {
-	key := callerKey{it.organisation, it.place}
+	key := callerKey{it.organisation, it.zone}
 	if l.callers[key] == nil {
-		l.callers[key] = l.system.Caller(it.organisation, it.place)
+		l.callers[key] = l.system.Caller(it.organisation, it.zone)
 	}
 }
 
@@ -198,9 +198,9 @@
 // send sends one request, with resends as the client's policy has it.
 func (l *load) send(ctx context.Context, start time.Time, it timedItem) Record {
 	intended := start.Add(it.at)
-	caller := l.callers[callerKey{it.organisation, it.place}]
+	caller := l.callers[callerKey{it.organisation, it.zone}]
 	record := Record{
-		Profile: it.profile.Name, Organisation: it.organisation, Place: it.place,
+		Profile: it.profile.Name, Organisation: it.organisation, Zone: it.zone,
 		At: it.at, Deadline: it.profile.Deadline, Poison: it.marker,
 	}
 	received := &receiver{intended: intended}
--- a/internal/bench/overhead_setup.go
+++ b/internal/bench/overhead_setup.go
@@ -63,7 +63,7 @@
 
 func (o *overhead) use(ctx context.Context, on System, admin *client.Admin, targets []platformapi.Instance) error {
 	o.organisation = fleet.Organisations(on.Deployment())[0]
-	o.caller = on.Caller(o.organisation, on.Places()[0])
+	o.caller = on.Caller(o.organisation, on.Zones()[0])
 	o.call = overheadKind{name: overheadCall, targets: targetsOf(targets, overheadService), direct: o.callDirect, through: o.callThrough}
 	o.first = overheadKind{name: overheadFirst, targets: targetsOf(targets, fleet.ServicePool), direct: o.firstDirect, through: o.firstThrough}
 	version, _, err := admin.NewestVersion(ctx, overheadGenerate)
--- a/internal/bench/promises_test.go
+++ b/internal/bench/promises_test.go
@@ -55,7 +55,7 @@
 		"bytes out of order, told by the program itself": {
 			Evidence{Violations: []invariant.Violation{{Rule: invariant.OffsetsContiguous}}}, nil, Breaches{Doubled: 1}},
 		"another invariant": {
-			Evidence{Violations: []invariant.Violation{{Rule: invariant.VersionsRise}}}, nil, Breaches{Invariants: 1}},
+			Evidence{Violations: []invariant.Violation{{Rule: invariant.VersionsIncrease}}}, nil, Breaches{Invariants: 1}},
 		"a second run": {Evidence{Doubled: ran}, nil, Breaches{Rerun: 1}},
 		"not run, but it ran": {
 			Evidence{Runs: ran}, one(Record{Keys: []string{"k1"}, Err: notRun}), Breaches{FalseNotRun: 1}},
--- a/internal/bench/stages/callers.go
+++ b/internal/bench/stages/callers.go
@@ -89,7 +89,7 @@
 	q := &request{day: d, kind: k, owner: d.instances[r.IntN(len(d.instances))], pieces: make(map[[2]int]bool)}
 	parts := []relay.PromptPart{{ID: "common", Tokens: commonTokens}, {ID: session, Tokens: sessionTokens}, {ID: id, Tokens: k.tokens}}
 	q.job = stagework.Job{
-		ID: id, Key: id, Priority: k.priority, Service: modelName, Place: q.owner.place,
+		ID: id, Key: id, Priority: k.priority, Service: modelName, Zone: q.owner.zone,
 		Prompt: &relay.Prompt{Parts: parts, TokensIn: commonTokens + sessionTokens + k.tokens, TokensOut: k.tokensO},
 	}
 	switch {
--- a/internal/bench/stages/day.go
+++ b/internal/bench/stages/day.go
@@ -59,7 +59,7 @@
 // instance is a lynxhill instance with its planner.
 type instance struct {
 	day     *day
-	place   string
+	zone    string
 	dead    bool
 	steps   *stagework.Stepper
 	waking  bool
@@ -98,7 +98,7 @@
 }
 
 func (d *day) instance(n int) *instance {
-	i := &instance{day: d, place: places[n%len(places)], freeing: make(map[string][]string)}
+	i := &instance{day: d, zone: zones[n%len(zones)], freeing: make(map[string][]string)}
 	i.steps = stagework.NewStepper(d.o.Policy, i.release)
 	return i
 }
@@ -208,7 +208,7 @@
 	next := d.first()
 	for _, s := range d.servers {
 		if !s.gone {
-			free := (s.limits.ResultRoom - s.used()) / mb * mb
+			free := (s.limits.ResultMemory - s.used()) / mb * mb
 			next.steps.Reported(s.target.Service, s.target.ID, free, d.now)
 		}
 	}
--- a/internal/bench/stages/engine.go
+++ b/internal/bench/stages/engine.go
@@ -36,7 +36,7 @@
 // start fetches the results, reads the prompt, and begins the answer.
 func (e *engine) start(q *request) {
 	d := e.day
-	far, ok := d.inputs(q.inputs, e.target.Place)
+	far, ok := d.inputs(q.inputs, e.target.Zone)
 	if !ok {
 		q.rejected(true)
 		return
--- a/internal/bench/stages/request.go
+++ b/internal/bench/stages/request.go
@@ -26,7 +26,7 @@
 
 // known is a result that the owner was told of.
 type known struct {
-	stagework.Made
+	stagework.ResultRef
 	told time.Time
 }
 
@@ -35,11 +35,11 @@
 	d := q.day
 	if q.owner.dead {
 		q.owner = d.first() // the caller has turned to another
-		q.job.Place = q.owner.place
+		q.job.Zone = q.owner.zone
 	}
 	d.out.Requests++
 	q.arrived = d.now
-	q.job.Aim = d.now.Add(q.kind.aim)
+	q.job.OnTimeUntil = d.now.Add(q.kind.aim)
 	q.job.Deadline = d.now.Add(q.kind.deadline)
 	d.after(q.kind.deadline, q.leave)
 	q.submit()
@@ -62,7 +62,7 @@
 }
 
 // told takes in what was made.
-func (q *request) told(made []stagework.Made) {
+func (q *request) told(made []stagework.ResultRef) {
 	for _, m := range made {
 		q.results = append(q.results, known{m, q.day.now})
 	}
@@ -89,7 +89,7 @@
 func (q *request) begun() {
 	q.answered = true
 	q.day.answer(q)
-	q.tell(func() { q.step.Begun(q.day.now) })
+	q.tell(func() { q.step.AnswerStarted(q.day.now) })
 }
 
 // rejected asks for another engine, of another planner if the first is lost.
@@ -108,11 +108,11 @@
 
 // move hands the job to the next planner with the results that are known.
 func (q *request) move() {
-	q.job.Made = nil
+	q.job.Results = nil
 	for _, k := range q.results {
-		m := k.Made
+		m := k.ResultRef
 		m.Age += q.day.now.Sub(k.told)
-		q.job.Made = append(q.job.Made, m)
+		q.job.Results = append(q.job.Results, m)
 	}
 	q.submit()
 }
--- a/internal/bench/stages/server.go
+++ b/internal/bench/stages/server.go
@@ -120,7 +120,7 @@
 		}
 	}
 	for i, r := range results {
-		if r.Fault == relay.PieceMade {
+		if r.Status == relay.PieceDone {
 			s.day.made(c.Pieces[i])
 		}
 	}
@@ -130,16 +130,16 @@
 // begin decides about each piece and takes the room. fetched is the bytes of
 // inputs from other zones.
 func (s *server) begin(pieces []relay.Piece) (results []relay.PieceResult, made []*result, fetched int64) {
-	free := s.limits.ResultRoom - s.used()
+	free := s.limits.ResultMemory - s.used()
 	for _, p := range pieces {
 		bytes := s.day.requests[p.ID].job.Stages[p.Stage].ResultBytes
-		far, ok := s.day.inputs(p.Inputs, s.target.Place)
+		far, ok := s.day.inputs(p.Inputs, s.target.Zone)
 		switch {
 		case !ok:
-			results = append(results, relay.PieceResult{Fault: relay.PieceGone})
+			results = append(results, relay.PieceResult{Status: relay.PieceInputMissing})
 		case bytes > free:
 			s.day.out.NoRoom++
-			results = append(results, relay.PieceResult{Fault: relay.PieceRoom})
+			results = append(results, relay.PieceResult{Status: relay.PieceNoMemory})
 		default:
 			free -= bytes
 			fetched += far
@@ -168,7 +168,7 @@
 		if !r.there(d.now) {
 			return 0, false
 		}
-		if r.server.target.Place != zone {
+		if r.server.target.Zone != zone {
 			far += r.bytes
 		}
 	}
--- a/internal/bench/stages/site.go
+++ b/internal/bench/stages/site.go
@@ -24,8 +24,8 @@
 	engineCount = 8
 )
 
-// places are the zones where targets and instances lie, by turns.
-var places = []string{"east", "west"}
+// zones are the zones where targets and instances lie, by turns.
+var zones = []string{"east", "west"}
 
 // linkSpeed is what one transfer between two zones gets, in bytes a second.
 const linkSpeed = 500 * mb
@@ -36,8 +36,8 @@
 // cutLimits and lookLimits are what the stage targets can do: a call has a long
 // fixed part and room for the results of few requests.
 var (
-	cutLimits  = route.Pieces{Slots: 1, Batch: 8, CallTime: 200 * time.Millisecond, ItemTime: 15 * time.Millisecond, ResultRoom: 32 * mb, ResultLifetime: 4 * time.Second}
-	lookLimits = route.Pieces{Slots: 1, Batch: 8, CallTime: 120 * time.Millisecond, ItemTime: 12 * time.Millisecond, ResultRoom: 12 * mb, ResultLifetime: 4 * time.Second}
+	cutLimits  = route.Pieces{Slots: 1, Batch: 8, CallTime: 200 * time.Millisecond, ItemTime: 15 * time.Millisecond, ResultMemory: 32 * mb, ResultLifetime: 4 * time.Second}
+	lookLimits = route.Pieces{Slots: 1, Batch: 8, CallTime: 120 * time.Millisecond, ItemTime: 12 * time.Millisecond, ResultMemory: 12 * mb, ResultLifetime: 4 * time.Second}
 )
 
 // The engines' speed: tokens read in a millisecond, the fixed time to the first
@@ -72,7 +72,7 @@
 // at returns the n-th target of a service.
 func at(service string, n int) fleet.Target {
 	id := fmt.Sprintf("%s-%d", service, n)
-	return fleet.Target{ID: id, Service: service, Address: id, Place: places[n%len(places)]}
+	return fleet.Target{ID: id, Service: service, Address: id, Zone: zones[n%len(zones)]}
 }
 
 // build makes the targets and engines.
--- a/internal/bench/stages/stages_test.go
+++ b/internal/bench/stages/stages_test.go
@@ -28,7 +28,7 @@
 		d := newDay(o)
 		for d.step() {
 			for _, s := range d.servers {
-				if s.working > s.limits.Slots || s.used() > s.limits.ResultRoom {
+				if s.working > s.limits.Slots || s.used() > s.limits.ResultMemory {
 					t.Fatalf("%s: %s has %d calls and %d bytes", v.Name, s.target.ID, s.working, s.used())
 				}
 			}
@@ -100,13 +100,13 @@
 
 // documents returns a stepper for two cutting targets, and hands it a job for
 // each list of results that were made before.
-func documents(t *testing.T, policy stagework.Policy, made ...[]stagework.Made) *stagework.Stepper {
+func documents(t *testing.T, policy stagework.Policy, made ...[]stagework.ResultRef) *stagework.Stepper {
 	s := stagework.NewStepper(policy, func(string, []string) {})
 	s.SetTargets(table(), fleet.NewView(1, []fleet.Target{at(cutService, 0), at(cutService, 1), at(lookService, 0), at(modelName, 0)}))
 	for n, m := range made {
 		job := stagework.Job{
-			ID: fmt.Sprint(n), Service: modelName, Aim: begin.Add(20 * time.Second), Deadline: begin.Add(time.Minute),
-			Stages: documentStages, Pieces: []int{8, 1}, Made: m,
+			ID: fmt.Sprint(n), Service: modelName, OnTimeUntil: begin.Add(20 * time.Second), Deadline: begin.Add(time.Minute),
+			Stages: documentStages, Pieces: []int{8, 1}, Results: m,
 		}
 		if _, refusal := s.Submit(job, func(stagework.Placement, *stagework.Refusal) {}, nil, begin); refusal != nil {
 			t.Fatalf("%+v", refusal)
@@ -133,7 +133,7 @@
 // Symptom: after a dispatcher was lost, what was made is made again. The kept
 // policy has the six pieces made that are missing, the baseline all eight.
 func TestResultsAreTakenOver(t *testing.T) {
-	made := []stagework.Made{{Number: 0, Target: "cut-0", Handle: "x"}, {Number: 1, Target: "cut-0", Handle: "y"}}
+	made := []stagework.ResultRef{{Number: 0, Target: "cut-0", Handle: "x"}, {Number: 1, Target: "cut-0", Handle: "y"}}
 	if kept, other := cut(documents(t, stagework.Policy{}, made)), cut(documents(t, stagework.Policy{NoTakeover: true}, made)); kept != 6 || other != 8 {
 		t.Errorf("%d pieces, and %d without takeover; want 6 and 8", kept, other)
 	}
@@ -163,7 +163,7 @@
 	}
 	chosen, err := Choose([]string{Kept, strings.Join(names, joint)})
 	want := stagework.Policy{
-		NoForecast: true, NoRoom: true, AnyPlace: true, LeastLoaded: true,
+		NoForecast: true, NoRoom: true, AnyZone: true, LeastLoaded: true,
 		NoTakeover: true, EachByItself: true, NoEarlyRefusal: true, NoMargin: true,
 		MixedCalls: true, NoRoomWait: true, NoLookahead: true, NoGathering: true,
 	}
--- a/internal/bench/stages/variant.go
+++ b/internal/bench/stages/variant.go
@@ -26,7 +26,7 @@
 		{Kept, stagework.Policy{}},
 		{"no-forecast", stagework.Policy{NoForecast: true}},
 		{"no-room", stagework.Policy{NoRoom: true}},
-		{"any-place", stagework.Policy{AnyPlace: true}},
+		{"any-place", stagework.Policy{AnyZone: true}},
 		{"least-loaded", stagework.Policy{LeastLoaded: true}},
 		{"no-takeover", stagework.Policy{NoTakeover: true}},
 		{"each-by-itself", stagework.Policy{EachByItself: true}},
--- a/internal/bench/standins.go
+++ b/internal/bench/standins.go
@@ -52,7 +52,7 @@
 type Layout struct {
 	Deployment    string                 `json:"deployment"`
 	Region        string                 `json:"region"`
-	Places        []string               `json:"places"`
+	Zones         []string               `json:"places"`
 	Control       string                 `json:"control"` // address of the control endpoint
 	Platform      string                 `json:"platform"`
 	Targets       []platformapi.Instance `json:"targets"`
@@ -65,7 +65,7 @@
 // for as long as the stand-ins run, so that a replacement can have them.
 type LayoutInstance struct {
 	ID     string `json:"id"`
-	Place  string `json:"place"`
+	Zone   string `json:"place"`
 	Config string `json:"config"` // file with its settings
 	Caller string `json:"caller"` // address that callers are told
 	Admin  string `json:"admin"`
@@ -112,7 +112,7 @@
 	}
 	s.control = &http.Server{Handler: s.controlHandler(), ReadHeaderTimeout: controlTimeout}
 	s.Layout = Layout{
-		Deployment: s.cluster.Fleet.Name, Region: s.cluster.Fleet.Region, Places: s.cluster.Fleet.Places,
+		Deployment: s.cluster.Fleet.Name, Region: s.cluster.Fleet.Region, Zones: s.cluster.Fleet.Zones,
 		Control: s.listener.Addr().String(), Platform: s.cluster.Fleet.Platform.Addr(),
 		OperatorToken: s.cluster.operator, CallerTokens: s.cluster.callers,
 	}
@@ -176,7 +176,7 @@
 	}
 	cfg.Debug.Pprof = true
 	instance := LayoutInstance{
-		ID: id, Place: cfg.Instance.Place, Config: filepath.Join(s.opts.Dir, id+".toml"),
+		ID: id, Zone: cfg.Instance.Zone, Config: filepath.Join(s.opts.Dir, id+".toml"),
 		Caller: cmp.Or(cfg.Listen.AdvertiseCaller, cfg.Listen.Caller), Admin: cfg.Listen.Admin,
 	}
 	s.Layout.Instances = append(s.Layout.Instances, instance)
--- a/internal/bench/system.go
+++ b/internal/bench/system.go
@@ -11,7 +11,7 @@
 // or instances that run as processes of their own (Attached).
 type System interface {
 	Deployment() string // fleet.MediaPlace or fleet.Kilimanjaro
-	Places() []string
+	Zones() []string
 	Caller(organisation, zone string) *client.Caller
 }
 
@@ -27,8 +27,8 @@
 // Deployment is the name of the deployment.
 func (c *Cluster) Deployment() string { return c.Fleet.Name }
 
-// Places are the deployment's availability zones.
-func (c *Cluster) Places() []string { return c.Fleet.Places }
+// Zones are the deployment's availability zones.
+func (c *Cluster) Zones() []string { return c.Fleet.Zones }
 
 func (c *Cluster) evidence(list []profile.Profile) Evidence {
 	return Evidence{
--- a/internal/bench/workload.go
+++ b/internal/bench/workload.go
@@ -58,7 +58,7 @@
 type item struct {
 	profile      profile.Profile
 	organisation string
-	place        string
+	zone         string
 	prefix       string
 	input        json.RawMessage
 	marker       bool // the input makes the targets that run it crash
@@ -75,7 +75,7 @@
 	profiles      map[string]profile.Profile
 	organisations []string
 	weights       []float64
-	places        []string
+	zones         []string
 	run           string // makes inputs of different runs differ
 	lengths       Lengths
 	count         int
@@ -90,8 +90,8 @@
 	w := &workload{
 		rng: rng, mix: mix, run: opts.Run, lengths: lengths, profiles: make(map[string]profile.Profile),
 		organisations: fleet.Organisations(c.Deployment()), weights: fleet.OrganisationWeights(c.Deployment()),
-		places: c.Places(),
-		zipf:   rand.NewZipf(rng, zipfExponent, 1, uint64(lengths.Prefixes-1)),
+		zones: c.Zones(),
+		zipf:  rand.NewZipf(rng, zipfExponent, 1, uint64(lengths.Prefixes-1)),
 	}
 	for _, p := range list {
 		w.profiles[p.Name] = p
@@ -111,7 +111,7 @@
 	it := item{
 		profile:      w.profiles[w.mix[pick(w.rng, mixWeights(w.mix))].Profile],
 		organisation: w.organisations[pick(w.rng, w.weights)],
-		place:        w.places[w.rng.IntN(len(w.places))],
+		zone:         w.zones[w.rng.IntN(len(w.zones))],
 		prefix:       prefixText(prefix, w.lengths.PrefixWords),
 	}
 	it.input = w.input("")
--- a/internal/bench/workload_test.go
+++ b/internal/bench/workload_test.go
@@ -16,7 +16,7 @@
 type paperSystem struct{ deployment string }
 
 func (s paperSystem) Deployment() string                 { return s.deployment }
-func (paperSystem) Places() []string                     { return []string{"a", "b"} }
+func (paperSystem) Zones() []string                      { return []string{"a", "b"} }
 func (paperSystem) Caller(string, string) *client.Caller { return nil }
 
 func drawItems(t *testing.T, deployment string, seed uint64, n int) []item {
--- a/internal/board/board.go
+++ b/internal/board/board.go
@@ -87,7 +87,7 @@
 	Kind        profile.Kind
 	Provider    string
 	Address     string // IP:port
-	Place       string
+	Zone        string
 	Region      string
 	ChecksFence bool
 	// Leaving is set at the first sign that the target is leaving, whatever its
@@ -116,8 +116,8 @@
 	return t, true
 }
 
-// Sign returns when the sign of leaving was given.
-func (t Target) Sign() time.Time {
+// LeavingSignTime returns when the sign of leaving was given.
+func (t Target) LeavingSignTime() time.Time {
 	if t.LeavingSign.IsZero() {
 		return t.LeavingSince
 	}
@@ -135,8 +135,8 @@
 	// PausedTo is the time until which the target accepts nothing from this instance;
 	// zero: it requested no pause.
 	PausedTo time.Time
-	// Heard is when a response or a digest last changed the row.
-	Heard time.Time
+	// ChangedAt is when a response or a digest last changed the row.
+	ChangedAt time.Time
 }
 
 // TargetLimit is the request rate that a target last announced to accept.
@@ -171,24 +171,24 @@
 
 // Member is another instance of lynxhill, or this one.
 type Member struct {
-	ID          string
-	Incarnation uint64
-	State       MemberState
-	CallerAddr  string // IP:port of the caller API
-	AdminAddr   string
-	PeerAddr    string // IP:port of the peer API
-	Place       string
-	Region      string
-	Room        float64 // free share of its admission limit, 0 to 1
-	InFlight    int
-	Profiles    uint64 // highest configuration version that it has in force
-	Changed     time.Time
+	ID            string
+	Incarnation   uint64
+	State         MemberState
+	CallerAddr    string // IP:port of the caller API
+	AdminAddr     string
+	PeerAddr      string // IP:port of the peer API
+	Zone          string
+	Region        string
+	FreeShare     float64 // free share of its admission limit, 0 to 1
+	InFlight      int
+	ConfigVersion uint64 // highest configuration version that it has in force
+	Changed       time.Time
 	// Left is set on a dead member that had announced its leaving, or that an operator
 	// declared gone.
 	Left bool
-	// Fleet is, for a dead member, the number of instances that it may have known when
+	// KnownInstances is, for a dead member, the number of instances that it may have known when
 	// it died, itself included; 0 if not known.
-	Fleet int
+	KnownInstances int
 	// Capacity is the processor time available to the instance, in cores; 0 if it does
 	// not report it.
 	Capacity float64
@@ -260,12 +260,12 @@
 
 // SteeringAddress is an instance with its weight in the distribution of callers.
 type SteeringAddress struct {
-	ID      string
-	Address string
-	Place   string
-	Region  string
-	Room    float64 // free share of its admission limit
-	Weight  float64
+	ID        string
+	Address   string
+	Zone      string
+	Region    string
+	FreeShare float64 // free share of its admission limit
+	Weight    float64
 }
 
 // Limit is what an organisation may use on this instance at present.
@@ -291,9 +291,9 @@
 	// CutOff is set while this instance cannot reach any of its targets; written by the
 	// reach controller.
 	CutOff bool
-	// Mark is the highest version up to which every configuration object is in force
+	// ConfigVersion is the highest version up to which every configuration object is in force
 	// here; written by profile sync, sent to other instances by membership.
-	Mark uint64
+	ConfigVersion uint64
 }
 
 // MayAdmit reports whether new requests are accepted. A stopping or draining instance
--- a/internal/board/members.go
+++ b/internal/board/members.go
@@ -11,7 +11,7 @@
 // LiveMembersIn returns the ids that LiveMembers returns, limited to one availability
 // zone (short: zone).
 func (b *Board) LiveMembersIn(zone, self string) []string {
-	return b.liveMembers(self, func(m Member) bool { return m.Place == zone })
+	return b.liveMembers(self, func(m Member) bool { return m.Zone == zone })
 }
 
 func (b *Board) liveMembers(self string, match func(Member) bool) []string {
@@ -34,7 +34,7 @@
 // Prefixes of drain subjects.
 const (
 	DrainInstance = "instance/"
-	DrainPlace    = "place/"
+	DrainZone     = "place/"
 	DrainTarget   = "target/"
 	// DrainTargetsIn evacuates a zone: its targets get no new work, whatever its
 	// instances do.
@@ -42,9 +42,9 @@
 )
 
 // DrainSubjects are all prefixes of drain subjects.
-var DrainSubjects = []string{DrainInstance, DrainPlace, DrainTarget, DrainTargetsIn}
+var DrainSubjects = []string{DrainInstance, DrainZone, DrainTarget, DrainTargetsIn}
 
 // TargetDrained reports whether an operator's drain keeps new work from the target.
 func (b *Board) TargetDrained(t Target) bool {
-	return b.Drained(DrainTarget+t.ID) || b.Drained(DrainTargetsIn+t.Place)
+	return b.Drained(DrainTarget+t.ID) || b.Drained(DrainTargetsIn+t.Zone)
 }
--- a/internal/board/table_test.go
+++ b/internal/board/table_test.go
@@ -85,22 +85,22 @@
 		t.Fatal("a sign from before the target was live again was accepted")
 	}
 	target, marked = target.MarkLeaving(at(11), at(21))
-	if !marked || !target.Leaving || target.LeavingSince != at(21) || target.Sign() != at(11) {
+	if !marked || !target.Leaving || target.LeavingSince != at(21) || target.LeavingSignTime() != at(11) {
 		t.Fatalf("after the first sign: %+v", target)
 	}
 	if again, marked := target.MarkLeaving(at(15), at(22)); marked || again != target {
 		t.Error("a second sign changed the mark")
 	}
-	if old := (Target{Leaving: true, LeavingSince: at(5)}); old.Sign() != at(5) {
+	if old := (Target{Leaving: true, LeavingSince: at(5)}); old.LeavingSignTime() != at(5) {
 		t.Error("a mark without a time of its sign does not use the time at which it was learned")
 	}
 }
 
 func TestLiveMembers(t *testing.T) {
 	b := New()
-	b.Members.Put("b", Member{ID: "b", State: MemberAlive, Place: "lac-a"})
-	b.Members.Put("c", Member{ID: "c", State: MemberSuspect, Place: "lac-a"})
-	b.Members.Put("d", Member{ID: "d", State: MemberAlive, Place: "lac-b"})
+	b.Members.Put("b", Member{ID: "b", State: MemberAlive, Zone: "lac-a"})
+	b.Members.Put("c", Member{ID: "c", State: MemberSuspect, Zone: "lac-a"})
+	b.Members.Put("d", Member{ID: "d", State: MemberAlive, Zone: "lac-b"})
 	if got := fmt.Sprint(b.LiveMembers("a")); got != "[a b d]" {
 		t.Errorf("live members %s, want [a b d]", got)
 	}
--- a/internal/callerapi/callerapi.go
+++ b/internal/callerapi/callerapi.go
@@ -35,16 +35,16 @@
 	// Outcome returns the recorded outcome of the request with an idempotency key.
 	Outcome(ctx context.Context, key outcome.Key) (lynxapi.OutcomeReply, error)
 	// Address returns the instances that the caller should use.
-	Address(ctx context.Context, question AddressQuestion) (lynxapi.AddressAnswer, error)
+	Address(ctx context.Context, question DiscoveryRequest) (lynxapi.AddressAnswer, error)
 	// Ready returns nil if the instance accepts new requests, otherwise an
 	// error with the reason.
 	Ready() error
 }
 
-// AddressQuestion holds what the caller states about itself in a discovery
+// DiscoveryRequest holds what the caller states about itself in a discovery
 // request. Place (its availability zone) and Region may be empty.
-type AddressQuestion struct {
-	Place        string
+type DiscoveryRequest struct {
+	Zone         string
 	Region       string
 	Organisation string
 }
@@ -138,8 +138,8 @@
 		a.fail(w, err, pipeline.Request{})
 		return
 	}
-	answer, err := a.opts.Handler.Address(r.Context(), AddressQuestion{
-		Place:        r.URL.Query().Get("place"),
+	answer, err := a.opts.Handler.Address(r.Context(), DiscoveryRequest{
+		Zone:         r.URL.Query().Get("place"),
 		Region:       r.URL.Query().Get("region"),
 		Organisation: organisation,
 	})
--- a/internal/callerapi/harness_test.go
+++ b/internal/callerapi/harness_test.go
@@ -34,8 +34,8 @@
 	return lynxapi.OutcomeReply{Key: key.Organisation + "/" + key.Key, State: lynxapi.OutcomeDone}, nil
 }
 
-func (f fakeHandler) Address(_ context.Context, q AddressQuestion) (lynxapi.AddressAnswer, error) {
-	return lynxapi.AddressAnswer{KeepMS: 5, Addresses: []lynxapi.Address{{ID: q.Place + q.Region + q.Organisation}}}, nil
+func (f fakeHandler) Address(_ context.Context, q DiscoveryRequest) (lynxapi.AddressAnswer, error) {
+	return lynxapi.AddressAnswer{KeepMS: 5, Addresses: []lynxapi.Address{{ID: q.Zone + q.Region + q.Organisation}}}, nil
 }
 
 func (f fakeHandler) Ready() error { return f.ready }
@@ -87,7 +87,7 @@
 }
 
 func (v *instance) close() {
-	v.server.Kill()
+	v.server.Close()
 	v.client.CloseIdleConnections()
 }
 
--- a/internal/claim/bench_test.go
+++ b/internal/claim/bench_test.go
@@ -24,7 +24,7 @@
 
 // waitIdle waits until the flush loop, which owns the view, has ended, and returns
 // the first shard.
-func waitIdle(p *Pages) *shard {
+func waitIdle(p *StoreClaimer) *shard {
 	for p.busy() {
 		runtime.Gosched()
 	}
@@ -36,7 +36,7 @@
 func BenchmarkDecide(b *testing.B) {
 	for _, windows := range []int{1, 10, 100} {
 		b.Run(fmt.Sprint(windows, "windows"), func(b *testing.B) {
-			p := testPages(memstore.New(memstore.Options{}), "a", 1, func(o *PagesOptions) {
+			p := testPages(memstore.New(memstore.Options{}), "a", 1, func(o *StoreOptions) {
 				o.Shards, o.FlushInterval = 1, time.Microsecond
 			})
 			s := p.shards[0]
--- a/internal/claim/cost_test.go
+++ b/internal/claim/cost_test.go
@@ -57,9 +57,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		st := memstore.New(memstore.Options{})
 		st.SetFaults(memstore.Faults{Delay: 2 * time.Millisecond, Jitter: 4 * time.Millisecond})
-		var pages []*Pages
+		var pages []*StoreClaimer
 		for i := range cfg.instances {
-			pages = append(pages, testPages(st, fmt.Sprint(i), uint64(i), func(o *PagesOptions) {
+			pages = append(pages, testPages(st, fmt.Sprint(i), uint64(i), func(o *StoreOptions) {
 				o.Shards, o.WindowBytes, o.FlushInterval = cfg.shards, cfg.window, cfg.flush
 				if cfg.owner {
 					o.Owners = func(shard int) string { return fmt.Sprint(shard % cfg.instances) }
@@ -103,7 +103,7 @@
 }
 
 // reliableForwarder delivers messages with a latency of one millisecond each way.
-type reliableForwarder struct{ pages *[]*Pages }
+type reliableForwarder struct{ pages *[]*StoreClaimer }
 
 func (l reliableForwarder) ForwardClaim(ctx context.Context, instance string, m Message) (Reply, error) {
 	number, err := strconv.Atoi(instance)
--- a/internal/claim/drain.go
+++ b/internal/claim/drain.go
@@ -36,7 +36,7 @@
 //
 // From now on, messages of other instances are refused; their senders write the
 // records themselves.
-func (p *Pages) Drain(ctx context.Context) {
+func (p *StoreClaimer) Drain(ctx context.Context) {
 	p.draining.Store(true)
 	for _, s := range p.shards {
 		s.flushNow()
@@ -57,7 +57,7 @@
 
 // drainOnExit calls Drain with a time limit if it has not been called yet, that is, if
 // the instance stops without a graceful shutdown.
-func (p *Pages) drainOnExit() {
+func (p *StoreClaimer) drainOnExit() {
 	if p.draining.Load() {
 		return
 	}
@@ -70,7 +70,7 @@
 
 // busy reports whether a flush loop is running or a completion or release is being
 // forwarded to an owner.
-func (p *Pages) busy() bool {
+func (p *StoreClaimer) busy() bool {
 	if p.forwardedEnds.Load() > 0 {
 		return true
 	}
@@ -85,9 +85,11 @@
 	return false
 }
 
-func (p *Pages) hasUnwritten() bool { return p.forwardedEnds.Load() > 0 || len(p.unwritten()) > 0 }
+func (p *StoreClaimer) hasUnwritten() bool {
+	return p.forwardedEnds.Load() > 0 || len(p.unwritten()) > 0
+}
 
-func (p *Pages) unwritten() []*op {
+func (p *StoreClaimer) unwritten() []*op {
 	var all []*op
 	for _, s := range p.shards {
 		all = append(all, s.unwritten()...)
@@ -97,7 +99,7 @@
 
 // transferUnwritten transfers completions and releases that are not in the store to
 // other instances.
-func (p *Pages) transferUnwritten(ctx context.Context) {
+func (p *StoreClaimer) transferUnwritten(ctx context.Context) {
 	ops, peers := p.unwritten(), p.opts.Peers()
 	if len(ops) == 0 || len(peers) == 0 || p.opts.Forward == nil {
 		return
@@ -118,7 +120,7 @@
 	}
 }
 
-func (p *Pages) transferOne(ctx context.Context, o *op, peers []string) {
+func (p *StoreClaimer) transferOne(ctx context.Context, o *op, peers []string) {
 	if p.sendCopies(ctx, o, peers, transferCopies) > 0 {
 		p.shards[o.entry.ID.shard(p.opts.Shards)].finishTransferred(o)
 	}
@@ -126,7 +128,7 @@
 
 // sendCopies sends a copy of the op to peers until limit of them have accepted it, and
 // returns how many did.
-func (p *Pages) sendCopies(ctx context.Context, o *op, peers []string, limit int) (copies int) {
+func (p *StoreClaimer) sendCopies(ctx context.Context, o *op, peers []string, limit int) (copies int) {
 	for _, peer := range peers {
 		if copies == limit || ctx.Err() != nil {
 			break
--- a/internal/claim/drain_test.go
+++ b/internal/claim/drain_test.go
@@ -31,7 +31,7 @@
 
 // runUntilStopped starts Pages.Run and returns a function that stops it and waits
 // until it has returned.
-func runUntilStopped(t *testing.T, p *Pages) (stop func()) {
+func runUntilStopped(t *testing.T, p *StoreClaimer) (stop func()) {
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() { p.Run(ctx); close(ended) }()
@@ -43,7 +43,7 @@
 func TestStopDoesNotWaitForLowPriorityCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		st := memstore.New(memstore.Options{})
-		a := testPages(st, "a", 1, func(o *PagesOptions) { o.Store = controlThrottledStore{st} })
+		a := testPages(st, "a", 1, func(o *StoreOptions) { o.Store = controlThrottledStore{st} })
 		stop := runUntilStopped(t, a)
 		mustState(t, a, testRequest("k", "x", time.Second), Granted).Claim.Complete(json.RawMessage(`1`))
 		time.Sleep(5 * time.Second)
@@ -57,9 +57,9 @@
 func TestStopTransfersUnwrittenRecords(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		st := memstore.New(memstore.Options{})
-		var pages []*Pages
+		var pages []*StoreClaimer
 		for i, self := range []string{"0", "1", "2"} {
-			pages = append(pages, testPages(st, self, uint64(i), func(o *PagesOptions) {
+			pages = append(pages, testPages(st, self, uint64(i), func(o *StoreOptions) {
 				o.Forward = reliableForwarder{&pages}
 				o.Peers = func() []string { return []string{"1", "2"} }
 			}))
@@ -86,7 +86,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		st := memstore.New(memstore.Options{})
 		var lines bytes.Buffer
-		a := testPages(st, "a", 1, func(o *PagesOptions) {
+		a := testPages(st, "a", 1, func(o *StoreOptions) {
 			o.Logger = event.NewLogger(log.NewLogfmtLogger(log.NewSyncWriter(&lines)))
 		})
 		stop := runUntilStopped(t, a)
@@ -104,7 +104,7 @@
 // the messages to it fail, including messages in progress.
 type killableOwner struct {
 	store.Store
-	pages *Pages
+	pages *StoreClaimer
 	dead  chan struct{}
 }
 
@@ -141,8 +141,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		st := memstore.New(memstore.Options{})
 		owner := &killableOwner{Store: st, dead: make(chan struct{})}
-		owner.pages = testPages(st, "owner", 1, func(o *PagesOptions) { o.Store = owner })
-		holder := testPages(st, "holder", 2, func(o *PagesOptions) {
+		owner.pages = testPages(st, "owner", 1, func(o *StoreOptions) { o.Store = owner })
+		holder := testPages(st, "holder", 2, func(o *StoreOptions) {
 			o.Owners = func(int) string { return "owner" }
 			o.Forward = owner
 		})
@@ -161,10 +161,10 @@
 func TestKilledInstanceLeavesCopiesOfItsCompletions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		st := memstore.New(memstore.Options{})
-		var pages []*Pages
+		var pages []*StoreClaimer
 		dead := make(chan struct{})
 		for i, self := range []string{"0", "1"} {
-			pages = append(pages, testPages(st, self, uint64(i), func(o *PagesOptions) {
+			pages = append(pages, testPages(st, self, uint64(i), func(o *StoreOptions) {
 				o.Forward = reliableForwarder{&pages}
 				o.Peers = func() []string { return []string{strconv.Itoa(1 - i)} }
 				if i == 0 {
--- a/internal/claim/failures_test.go
+++ b/internal/claim/failures_test.go
@@ -42,7 +42,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		st := memstore.New(memstore.Options{})
-		small := func(o *PagesOptions) { o.Shards, o.WindowBytes, o.FlushInterval = 1, 500, time.Millisecond }
+		small := func(o *StoreOptions) { o.Shards, o.WindowBytes, o.FlushInterval = 1, 500, time.Millisecond }
 		a, suspended := testPages(st, "a", 1, small), testPages(st, "s", 2, small)
 		for i := 0; currentOf(suspended) == nil || currentOf(suspended).version != 0; i++ {
 			mustState(t, suspended, testRequest(fmt.Sprint("s", i), "x", time.Second), Granted)
@@ -95,7 +95,7 @@
 
 // unresponsiveOwner forwards to an owner that grants a claim and then stops
 // replying.
-type unresponsiveOwner struct{ owner *Pages }
+type unresponsiveOwner struct{ owner *StoreClaimer }
 
 func (l unresponsiveOwner) ForwardClaim(ctx context.Context, _ string, m Message) (Reply, error) {
 	if m.Op == MessageClaim {
@@ -111,7 +111,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		st := memstore.New(memstore.Options{})
-		a := testPages(st, "a", 1, func(o *PagesOptions) {
+		a := testPages(st, "a", 1, func(o *StoreOptions) {
 			o.Owners = func(int) string { return "owner" }
 			o.Forward = unresponsiveOwner{testPages(st, "owner", 3, nil)}
 		})
@@ -131,7 +131,7 @@
 func TestUnchangedWindowProvesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		st := memstore.New(memstore.Options{})
-		one := func(o *PagesOptions) { o.Shards = 1 }
+		one := func(o *StoreOptions) { o.Shards = 1 }
 		a, b := testPages(st, "a", 1, one), testPages(st, "b", 2, one)
 		mustState(t, a, testRequest("warm", "x", time.Second), Granted)
 		st.SetFaults(memstore.Faults{WriteDelay: 10 * time.Second})
@@ -166,7 +166,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		st := memstore.New(memstore.Options{})
 		mustState(t, testPages(st, "a", 1, nil), testRequest("k", "x", time.Second), Granted)
-		more := testPages(st, "b", 2, func(o *PagesOptions) { o.Shards = 64 })
+		more := testPages(st, "b", 2, func(o *StoreOptions) { o.Shards = 64 })
 		for i := range 10 {
 			mustKind(t, more, testRequest(fmt.Sprint(i), "x", time.Second), errkind.StoreUnavailable)
 		}
@@ -193,7 +193,7 @@
 func TestCompletionsYieldToClaims(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		st := &priorityStore{Store: memstore.New(memstore.Options{})}
-		a := NewPages(PagesOptions{Store: st, Self: "a", Rand: rand.New(rand.NewPCG(1, 1)), Shards: 1})
+		a := NewStoreClaimer(StoreOptions{Store: st, Self: "a", Rand: rand.New(rand.NewPCG(1, 1)), Shards: 1})
 		c := mustState(t, a, testRequest("k", "x", time.Second), Granted).Claim
 		c.Complete(nil)
 		time.Sleep(3 * time.Second)
@@ -211,11 +211,11 @@
 func TestForwardedGrantIsCountedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		st := memstore.New(memstore.Options{})
-		var pages []*Pages
+		var pages []*StoreClaimer
 		counts := make([]*metrics.Registry, 2)
 		for i := range counts {
 			counts[i] = metrics.NewRegistry()
-			pages = append(pages, testPages(st, strconv.Itoa(i), uint64(i), func(o *PagesOptions) {
+			pages = append(pages, testPages(st, strconv.Itoa(i), uint64(i), func(o *StoreOptions) {
 				o.Owners = func(int) string { return "0" }
 				o.Forward, o.Metrics = reliableForwarder{&pages}, counts[i]
 			}))
--- a/internal/claim/faults_test.go
+++ b/internal/claim/faults_test.go
@@ -47,7 +47,7 @@
 	fate := l.rng.IntN(10)
 	late := time.Duration(l.rng.Int64N(int64(3 * time.Second)))
 	l.mu.Unlock()
-	var to *Pages
+	var to *StoreClaimer
 	l.history.mu.Lock()
 	for _, p := range l.history.pages {
 		if p.opts.Self == instance {
--- a/internal/claim/format.go
+++ b/internal/claim/format.go
@@ -22,7 +22,7 @@
 // number of shards. With a different number, keys would be searched for in the
 // wrong shard, appear unclaimed, and run a second time. Once the check has
 // passed, the store is not read again for it.
-func (p *Pages) checkFormat(ctx context.Context) error {
+func (p *StoreClaimer) checkFormat(ctx context.Context) error {
 	if p.formatOK.Load() {
 		return nil
 	}
--- a/internal/claim/forward.go
+++ b/internal/claim/forward.go
@@ -69,7 +69,7 @@
 
 // ownerOf returns the instance to which claims of the shard are forwarded, or ""
 // if this instance writes them itself.
-func (p *Pages) ownerOf(s *shard) string {
+func (p *StoreClaimer) ownerOf(s *shard) string {
 	if p.opts.Forward == nil {
 		return ""
 	}
@@ -80,7 +80,7 @@
 	return owner
 }
 
-func (p *Pages) avoided(owner string) bool {
+func (p *StoreClaimer) avoided(owner string) bool {
 	p.avoidMu.Lock()
 	defer p.avoidMu.Unlock()
 	until, ok := p.avoid[owner]
@@ -94,14 +94,14 @@
 	return false
 }
 
-func (p *Pages) avoidOwner(owner string) {
+func (p *StoreClaimer) avoidOwner(owner string) {
 	p.avoidMu.Lock()
 	defer p.avoidMu.Unlock()
 	p.avoid[owner] = p.opts.Clock.Now().Add(avoidAfterFailure)
 }
 
 // forwardContext returns ctx with a time limit for forwarding a message.
-func (p *Pages) forwardContext(ctx context.Context, limit time.Duration) (context.Context, context.CancelFunc) {
+func (p *StoreClaimer) forwardContext(ctx context.Context, limit time.Duration) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
 	timer := p.opts.Clock.AfterFunc(limit, cancel)
 	return ctx, func() {
@@ -113,7 +113,7 @@
 // claimAtOwner forwards the claim to the owner. If settled is true, answer and err
 // are the result. Otherwise this instance has to write the claim itself, and
 // certain says whether the owner certainly recorded nothing.
-func (p *Pages) claimAtOwner(ctx context.Context, s *shard, owner string, o *op, req Request) (answer Answer, settled, certain bool, err error) {
+func (p *StoreClaimer) claimAtOwner(ctx context.Context, s *shard, owner string, o *op, req Request) (answer Answer, settled, certain bool, err error) {
 	limit := p.opts.Clock.Now().Add(forwardTimeout)
 	if !req.Deadline.IsZero() && req.Deadline.Before(limit) {
 		limit = req.Deadline
@@ -148,7 +148,7 @@
 // running. The second attempt has its own token and replaces the first attempt if
 // that was recorded, which is safe because this instance did not dispatch the
 // stage for it.
-func (p *Pages) claimHereInstead(ctx context.Context, s *shard, first *op, req Request, certain bool) (Answer, error) {
+func (p *StoreClaimer) claimHereInstead(ctx context.Context, s *shard, first *op, req Request, certain bool) (Answer, error) {
 	e := first.entry
 	e.Token = p.token()
 	second := newOp(first.lifetime, e)
@@ -183,7 +183,7 @@
 }
 
 // Handle processes a message of another instance.
-func (p *Pages) Handle(ctx context.Context, m Message) (Reply, error) {
+func (p *StoreClaimer) Handle(ctx context.Context, m Message) (Reply, error) {
 	if p.draining.Load() {
 		return Reply{}, errkind.New(errkind.StoreUnavailable, "the instance is stopping")
 	}
@@ -217,7 +217,7 @@
 // handleEnd records a completion or release for another instance. It returns nil
 // once the record is written or, for a transferred record, queued. On an error,
 // the sender is still responsible for the record.
-func (p *Pages) handleEnd(ctx context.Context, s *shard, o *op, transferred bool) error {
+func (p *StoreClaimer) handleEnd(ctx context.Context, s *shard, o *op, transferred bool) error {
 	o.replicated = transferred
 	if !s.add(o) {
 		return errkind.New(errkind.StoreUnavailable, "too many claims wait for the store")
@@ -239,7 +239,7 @@
 	}
 }
 
-func (p *Pages) handleClaim(ctx context.Context, s *shard, o *op, m Message) (Reply, error) {
+func (p *StoreClaimer) handleClaim(ctx context.Context, s *shard, o *op, m Message) (Reply, error) {
 	answer, _, err := p.submit(ctx, s, o, Request{Key: m.Key, BodyHash: m.Body, Deadline: m.Deadline})
 	if err != nil {
 		return Reply{}, err
--- a/internal/claim/history_test.go
+++ b/internal/claim/history_test.go
@@ -49,7 +49,7 @@
 	instances int
 
 	mu           sync.Mutex // guards the fields below
-	pages        []*Pages
+	pages        []*StoreClaimer
 	ops          []porcupine.Operation
 	live         map[string]int // number of grants not released, by key
 	grantedTwice []string
@@ -66,9 +66,9 @@
 	forward   bool
 }
 
-func (h *history) newPages(i int) *Pages {
+func (h *history) newPages(i int) *StoreClaimer {
 	paused := &pausingStore{Store: h.st, rng: rand.New(rand.NewPCG(h.rng.Uint64(), 4)), pauseRate: 0.02}
-	opts := PagesOptions{
+	opts := StoreOptions{
 		Store: paused, Self: fmt.Sprint("i", i), Rand: rand.New(rand.NewPCG(h.rng.Uint64(), 5)), Shards: 2,
 		WindowBytes: 900, FlushInterval: 20 * time.Millisecond, LazyInterval: 200 * time.Millisecond, CacheBytes: 30_000,
 	}
@@ -76,7 +76,7 @@
 		opts.Owners = func(shard int) string { return fmt.Sprint("i", shard%h.instances) }
 		opts.Forward = &faultyForwarder{history: h, rng: rand.New(rand.NewPCG(h.rng.Uint64(), 8))}
 	}
-	return NewPages(opts)
+	return NewStoreClaimer(opts)
 }
 
 func runHistory(t *testing.T, cfg historyConfig) *history {
@@ -143,7 +143,7 @@
 	}
 }
 
-func (h *history) claim(rng *rand.Rand, p *Pages, key string, id int) {
+func (h *history) claim(rng *rand.Rand, p *StoreClaimer, key string, id int) {
 	within := 100*time.Millisecond + time.Duration(rng.Int64N(int64(4*time.Second)))
 	call := time.Now()
 	answer, err := p.Claim(context.Background(), testRequest(key, "x", within))
--- a/internal/claim/key.go
+++ b/internal/claim/key.go
@@ -70,7 +70,7 @@
 // returns KeyExpired for a key past its retention, and BadRequest for one whose
 // timestamp is in the future, since a later lookup could search the wrong
 // windows for the claim of such a key.
-func (o *PagesOptions) lifetimeOf(key string, now time.Time) (keyLifetime, error) {
+func (o *StoreOptions) lifetimeOf(key string, now time.Time) (keyLifetime, error) {
 	if t, ok := ticketOfKey(key); ok {
 		return o.lifetimeBetween(t.issuedAt(), t.expiresAt(), now)
 	}
@@ -80,7 +80,7 @@
 	return keyLifetime{retainUntil: now.Add(o.OpaqueRetention)}, nil
 }
 
-func (o *PagesOptions) lifetimeBetween(at, expires, now time.Time) (keyLifetime, error) {
+func (o *StoreOptions) lifetimeBetween(at, expires, now time.Time) (keyLifetime, error) {
 	if !now.Before(expires) {
 		return keyLifetime{}, errkind.New(errkind.KeyExpired, "the key's time is past its retention")
 	}
--- a/internal/claim/op.go
+++ b/internal/claim/op.go
@@ -101,7 +101,7 @@
 
 // grantedClaim is a claim, recorded in the store, that this instance holds.
 type grantedClaim struct {
-	pages    *Pages
+	pages    *StoreClaimer
 	shard    *shard
 	entry    entry
 	lifetime keyLifetime
--- a/internal/claim/pages.go
+++ b/internal/claim/pages.go
@@ -37,9 +37,9 @@
 	removalMargin = 10 * time.Minute
 )
 
-// PagesOptions configures Pages. Zero values select the defaults. All instances
+// StoreOptions configures Pages. Zero values select the defaults. All instances
 // must agree on Shards, Retention, OpaqueRetention and MaxSkew.
-type PagesOptions struct {
+type StoreOptions struct {
 	Store store.Store
 	Clock clock.Clock
 	Rand  *rand.Rand // must not be used elsewhere; Pages serialises access
@@ -77,7 +77,7 @@
 	MaxPending      int           // limit on claims, completions and releases that wait for the store
 }
 
-func (o *PagesOptions) setDefaults() {
+func (o *StoreOptions) setDefaults() {
 	if o.Clock == nil {
 		o.Clock = quartz.NewReal()
 	}
@@ -112,13 +112,13 @@
 	metricPending   = metrics.Define("claim_pending", "records", "Claims, completions and releases that wait for the store.")
 )
 
-// Pages records claims in the platform's store. The keys are divided into shards;
+// StoreClaimer records claims in the platform's store. The keys are divided into shards;
 // each shard is a sequence of windows, of which only the last one is appended to.
 // At most one claim of a key is granted because every write is conditional on the
 // window's version: a claim is granted only by a write on top of exactly the
 // content in which the key was searched for.
-type Pages struct {
-	opts   PagesOptions
+type StoreClaimer struct {
+	opts   StoreOptions
 	shards []*shard
 	cache  *windowCache
 	stop   chan struct{} // closed when Run ends
@@ -146,12 +146,12 @@
 	pending   *expvar.Int
 }
 
-// NewPages returns a Claimer that records claims in the platform's store. It is
+// NewStoreClaimer returns a Claimer that records claims in the platform's store. It is
 // usable before Run is called; Run removes expired windows and, when it returns,
 // stops all writes.
-func NewPages(opts PagesOptions) *Pages {
+func NewStoreClaimer(opts StoreOptions) *StoreClaimer {
 	opts.setDefaults()
-	p := &Pages{
+	p := &StoreClaimer{
 		opts:      opts,
 		cache:     newWindowCache(opts.CacheBytes),
 		stop:      make(chan struct{}),
@@ -171,7 +171,7 @@
 }
 
 // Claim implements Claimer.
-func (p *Pages) Claim(ctx context.Context, req Request) (Answer, error) {
+func (p *StoreClaimer) Claim(ctx context.Context, req Request) (Answer, error) {
 	now := p.opts.Clock.Now()
 	life, err := p.opts.lifetimeOf(req.Key.Key, now)
 	if err != nil {
@@ -197,7 +197,7 @@
 }
 
 // Lookup implements Claimer.
-func (p *Pages) Lookup(ctx context.Context, key Key) (Answer, bool, error) {
+func (p *StoreClaimer) Lookup(ctx context.Context, key Key) (Answer, bool, error) {
 	life, err := p.opts.lifetimeOf(key.Key, p.opts.Clock.Now())
 	if err != nil {
 		return Answer{}, false, err
@@ -208,7 +208,7 @@
 
 // submit queues the op at its shard and waits for the result until ctx ends or
 // the deadline passes.
-func (p *Pages) submit(ctx context.Context, s *shard, o *op, req Request) (Answer, bool, error) {
+func (p *StoreClaimer) submit(ctx context.Context, s *shard, o *op, req Request) (Answer, bool, error) {
 	if !s.add(o) {
 		return Answer{}, false, errkind.New(errkind.StoreUnavailable, "too many claims wait for the store")
 	}
@@ -239,7 +239,7 @@
 // because the process was paused during the write, it releases the claim and
 // returns an error instead. owner is the instance that wrote the claim, "" for
 // this instance.
-func (p *Pages) grant(s *shard, o *op, req Request, owner string) (Answer, bool, error) {
+func (p *StoreClaimer) grant(s *shard, o *op, req Request, owner string) (Answer, bool, error) {
 	c := &grantedClaim{pages: p, shard: s, entry: o.entry, lifetime: o.lifetime, req: req, owner: owner}
 	if !req.Deadline.IsZero() && millis(p.opts.Clock.Now()) >= millis(req.Deadline) {
 		c.Release()
@@ -251,7 +251,7 @@
 	return Answer{State: Granted, Holder: o.entry.Holder, Claim: c}, true, nil
 }
 
-func (p *Pages) token() string {
+func (p *StoreClaimer) token() string {
 	var raw [12]byte
 	p.randMu.Lock()
 	binary.BigEndian.PutUint64(raw[:8], p.opts.Rand.Uint64())
@@ -261,10 +261,10 @@
 }
 
 // jitter returns a random duration in [0, limit).
-func (p *Pages) jitter(limit time.Duration) time.Duration {
+func (p *StoreClaimer) jitter(limit time.Duration) time.Duration {
 	p.randMu.Lock()
 	defer p.randMu.Unlock()
 	return time.Duration(p.opts.Rand.Int64N(int64(limit)))
 }
 
-var _ Claimer = (*Pages)(nil)
+var _ Claimer = (*StoreClaimer)(nil)
--- a/internal/claim/pages_test.go
+++ b/internal/claim/pages_test.go
@@ -15,12 +15,12 @@
 	"lynxhill.example/lynxhill/internal/store/memstore"
 )
 
-func testPages(st *memstore.Store, self string, seed uint64, change func(*PagesOptions)) *Pages {
-	opts := PagesOptions{Store: st, Self: self, Rand: rand.New(rand.NewPCG(seed, 9)), Shards: 4}
+func testPages(st *memstore.Store, self string, seed uint64, change func(*StoreOptions)) *StoreClaimer {
+	opts := StoreOptions{Store: st, Self: self, Rand: rand.New(rand.NewPCG(seed, 9)), Shards: 4}
 	if change != nil {
 		change(&opts)
 	}
-	return NewPages(opts)
+	return NewStoreClaimer(opts)
 }
 
 func testRequest(key, body string, within time.Duration) Request {
@@ -51,7 +51,7 @@
 
 // currentOf returns the current window of the first shard once its flush loop,
 // which owns the window, is blocked or has ended.
-func currentOf(p *Pages) *window {
+func currentOf(p *StoreClaimer) *window {
 	synctest.Wait()
 	return p.shards[0].view.current
 }
@@ -92,7 +92,7 @@
 func TestSealedWindowsAreLookedAt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		st := memstore.New(memstore.Options{})
-		small := func(o *PagesOptions) {
+		small := func(o *StoreOptions) {
 			o.Shards, o.WindowBytes, o.FlushInterval, o.CacheBytes = 1, 600, time.Millisecond, 2000
 		}
 		a := testPages(st, "a", 1, small)
@@ -183,7 +183,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		st := memstore.New(memstore.Options{})
-		small := func(o *PagesOptions) { o.Shards, o.WindowBytes, o.FlushInterval = 1, 600, time.Millisecond }
+		small := func(o *StoreOptions) { o.Shards, o.WindowBytes, o.FlushInterval = 1, 600, time.Millisecond }
 		a := testPages(st, "a", 1, small)
 		stopped := make(chan struct{})
 		go func() { a.Run(ctx); close(stopped) }()
--- a/internal/claim/removal.go
+++ b/internal/claim/removal.go
@@ -18,7 +18,7 @@
 // Run periodically removes expired windows of the shards whose preferred owner is
 // this instance. When ctx ends, it drains for some seconds (see Drain) and stops
 // the flush loops; later claims fail with StoreUnavailable at their deadline.
-func (p *Pages) Run(ctx context.Context) {
+func (p *StoreClaimer) Run(ctx context.Context) {
 	defer p.once.Do(func() { close(p.stop) })
 	for {
 		timer := p.opts.Clock.NewTimer(removalInterval/2 + p.jitter(removalInterval))
@@ -33,7 +33,7 @@
 	}
 }
 
-func (p *Pages) removeExpired(ctx context.Context) {
+func (p *StoreClaimer) removeExpired(ctx context.Context) {
 	ctx = store.WithPriority(ctx, store.PriorityBackground)
 	for shard := range p.shards {
 		if p.opts.Owners(shard) != p.opts.Self {
@@ -49,7 +49,7 @@
 // retention. It deletes the windows before it shortens the index, so that no
 // object is orphaned if it is interrupted. Windows past their retention are not
 // read by any instance.
-func (p *Pages) removeExpiredOf(ctx context.Context, shard int) error {
+func (p *StoreClaimer) removeExpiredOf(ctx context.Context, shard int) error {
 	obj, err := p.opts.Store.Get(ctx, indexKey(shard))
 	if errors.Is(err, store.ErrNotFound) {
 		return nil
@@ -80,7 +80,7 @@
 	return nil
 }
 
-func (p *Pages) remove(ctx context.Context, shard int, number uint64) error {
+func (p *StoreClaimer) remove(ctx context.Context, shard int, number uint64) error {
 	key := windowKey(shard, number)
 	obj, err := p.opts.Store.Get(ctx, key)
 	if errors.Is(err, store.ErrNotFound) {
--- a/internal/claim/router.go
+++ b/internal/claim/router.go
@@ -8,7 +8,7 @@
 )
 
 type router struct {
-	pages   *Pages
+	pages   *StoreClaimer
 	tickets *Tickets
 }
 
@@ -16,7 +16,7 @@
 // in memory and all other keys in the platform's store. A ticket sent in addition
 // to a plain key is ignored, since the same key might be sent again with another
 // ticket or without one.
-func NewRouter(pages *Pages, tickets *Tickets) Claimer {
+func NewRouter(pages *StoreClaimer, tickets *Tickets) Claimer {
 	return &router{pages: pages, tickets: tickets}
 }
 
--- a/internal/claim/shard.go
+++ b/internal/claim/shard.go
@@ -11,7 +11,7 @@
 // shard holds a partition of the keys. Only its flush loop, a goroutine that runs
 // while there are pending ops, uses view.
 type shard struct {
-	pages  *Pages
+	pages  *StoreClaimer
 	number int
 	view   view
 
@@ -26,7 +26,7 @@
 	nextWriteTime time.Time
 }
 
-func newShard(p *Pages, number int) *shard {
+func newShard(p *StoreClaimer, number int) *shard {
 	return &shard{pages: p, number: number, wake: make(chan struct{}, 1)}
 }
 
--- a/internal/claim/tickets.go
+++ b/internal/claim/tickets.go
@@ -109,9 +109,9 @@
 	return issued.text(t.secret), expires
 }
 
-// Home returns the instance that issued the ticket. It does not verify the
+// Issuer returns the instance that issued the ticket. It does not verify the
 // signature: only the issuer can, and it does so when it receives the request.
-func (t *Tickets) Home(text string) (instance string, ok bool) {
+func (t *Tickets) Issuer(text string) (instance string, ok bool) {
 	parsed, _, _, err := parseTicket(text)
 	return parsed.Instance, err == nil
 }
--- a/internal/claim/tickets_test.go
+++ b/internal/claim/tickets_test.go
@@ -26,7 +26,7 @@
 		if !expires.Equal(time.Now().Add(time.Minute)) {
 			t.Errorf("expires %v", expires)
 		}
-		if id, ok := testTickets("b", 1, 0).Home(text); !ok || id != "a" {
+		if id, ok := testTickets("b", 1, 0).Issuer(text); !ok || id != "a" {
 			t.Errorf("home %q, %v", id, ok)
 		}
 		req := testRequest(MintKey(text, "order-1"), "x", time.Second)
--- a/internal/client/address.go
+++ b/internal/client/address.go
@@ -192,8 +192,8 @@
 	ctx, cancel := context.WithTimeout(ctx, addressTimeout)
 	defer cancel()
 	query := url.Values{}
-	if c.opts.Place != "" {
-		query.Set("place", c.opts.Place)
+	if c.opts.Zone != "" {
+		query.Set("place", c.opts.Zone)
 	}
 	if c.opts.Region != "" {
 		query.Set("region", c.opts.Region)
@@ -254,7 +254,7 @@
 
 func (c *Caller) distance(a lynxapi.Address) int {
 	switch {
-	case c.opts.Place != "" && a.Place == c.opts.Place:
+	case c.opts.Zone != "" && a.Zone == c.opts.Zone:
 		return 0
 	case c.opts.Region != "" && a.Region == c.opts.Region:
 		return 1
--- a/internal/client/admin.go
+++ b/internal/client/admin.go
@@ -110,9 +110,9 @@
 	return put[lynxapi.ChangeReply](ctx, a, http.MethodPost, pathOf(lynxapi.PathProfileRollback, ":name", name), req)
 }
 
-// Force tells where a profile's newest version is in force.
-func (a *Admin) Force(ctx context.Context, name string) (lynxapi.ForceReply, error) {
-	return get[lynxapi.ForceReply](ctx, a, pathOf(lynxapi.PathProfileForce, ":name", name), nil)
+// InForce tells where a profile's newest version is in force.
+func (a *Admin) InForce(ctx context.Context, name string) (lynxapi.InForceReply, error) {
+	return get[lynxapi.InForceReply](ctx, a, pathOf(lynxapi.PathProfileForce, ":name", name), nil)
 }
 
 // Change tells what became of a change.
--- a/internal/client/caller.go
+++ b/internal/client/caller.go
@@ -19,7 +19,7 @@
 // Defaults of CallerOptions.
 const (
 	DefaultMaxAttempts = 8
-	DefaultSilence     = 5 * time.Second // five heartbeats
+	DefaultIdleTimeout = 5 * time.Second // five heartbeats
 	DefaultMinBackoff  = 20 * time.Millisecond
 	DefaultMaxBackoff  = time.Second
 )
@@ -29,13 +29,13 @@
 	Servers []string // caller addresses to ask first, host:port or URLs
 	Token   string
 	TLS     *tls.Config // nil = plain HTTP
-	Place   string      // of the caller; its own place is used first
+	Zone    string      // of the caller; its own place is used first
 	Region  string
 	// MaxAttempts bounds how often one request is sent; 1 = never again.
 	MaxAttempts int
-	// Silence is how long a stream may send nothing, not even a heartbeat,
+	// IdleTimeout is how long a stream may send nothing, not even a heartbeat,
 	// before its connection is given up.
-	Silence     time.Duration
+	IdleTimeout time.Duration
 	MinBackoff  time.Duration
 	MaxBackoff  time.Duration
 	DialTimeout time.Duration
@@ -60,7 +60,7 @@
 
 func (o CallerOptions) withDefaults() CallerOptions {
 	defaults.Positive(&o.MaxAttempts, DefaultMaxAttempts)
-	defaults.Positive(&o.Silence, DefaultSilence)
+	defaults.Positive(&o.IdleTimeout, DefaultIdleTimeout)
 	defaults.Positive(&o.MinBackoff, DefaultMinBackoff)
 	defaults.Positive(&o.MaxBackoff, DefaultMaxBackoff)
 	return o
@@ -102,7 +102,7 @@
 // silent or takes no work. One whose answer broke off is not blamed: it may
 // have been the connection.
 func (c *Caller) noteUnreachable(server string, err error) {
-	if IsUnreachable(err) || errors.Is(err, ErrSilent) || errkind.Is(err, errkind.Isolated) {
+	if IsUnreachable(err) || errors.Is(err, ErrIdleTimeout) || errkind.Is(err, errkind.Isolated) {
 		c.book.avoid(server, time.Now())
 	}
 }
--- a/internal/client/client_test.go
+++ b/internal/client/client_test.go
@@ -73,13 +73,13 @@
 			i := newInstance(t, c.run)
 			caller := newTestCaller(i.addr())
 			if strings.HasPrefix(c.name, "silent") {
-				caller.opts.Silence = 50 * time.Millisecond
+				caller.opts.IdleTimeout = 50 * time.Millisecond
 			}
 			_, _, err := sendStream(t, caller, 1)
 			if err == nil {
 				t.Fatal("taken for whole")
 			}
-			if silent := strings.HasPrefix(c.name, "silent"); silent != errors.Is(err, ErrSilent) {
+			if silent := strings.HasPrefix(c.name, "silent"); silent != errors.Is(err, ErrIdleTimeout) {
 				t.Fatalf("silent %t: %v", silent, err)
 			}
 			if state := RunStateOf(err); state != errkind.MayHaveRun {
@@ -93,7 +93,7 @@
 // stream open for as long as they come, and their end ends it.
 func TestSilenceWatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := NewCaller(CallerOptions{Silence: 5 * time.Second})
+		c := NewCaller(CallerOptions{IdleTimeout: 5 * time.Second})
 		body, out := io.Pipe()
 		start := time.Now()
 		go func() {
@@ -259,7 +259,7 @@
 	heavy := newInstance(t, stopping, stopping, stopping)
 	c := newTestCaller(heavy.addr())
 	c.book.keep(lynxapi.AddressAnswer{KeepMS: 60000, Addresses: []lynxapi.Address{
-		{Address: heavy.addr(), Place: "near", Weight: 1e9}, {Address: other.addr(), Place: "near", Weight: 1e-9},
+		{Address: heavy.addr(), Zone: "near", Weight: 1e9}, {Address: other.addr(), Zone: "near", Weight: 1e-9},
 	}}, time.Now())
 	heavy.others = []string{other.addr()}
 	if _, result, err := sendStream(t, c, 2); err != nil || result.Server != other.addr() {
@@ -342,11 +342,11 @@
 // answer gave a quarter of the weight to a far place, since the near one had
 // little room. Cause: the client took the near place whatever the weights said.
 func TestPickFollowsTheWeights(t *testing.T) {
-	c := NewCaller(CallerOptions{Place: "near", Region: "r"})
+	c := NewCaller(CallerOptions{Zone: "near", Region: "r"})
 	answer := lynxapi.AddressAnswer{Addresses: []lynxapi.Address{
-		{Address: "near-1", Place: "near", Weight: 0.5}, {Address: "near-2", Place: "near", Weight: 0.25},
-		{Address: "far", Place: "far", Weight: 0.25},
-		{Address: "spare-far", Place: "x"}, {Address: "spare-region", Place: "y", Region: "r"}, {Address: "spare-near", Place: "near"},
+		{Address: "near-1", Zone: "near", Weight: 0.5}, {Address: "near-2", Zone: "near", Weight: 0.25},
+		{Address: "far", Zone: "far", Weight: 0.25},
+		{Address: "spare-far", Zone: "x"}, {Address: "spare-region", Zone: "y", Region: "r"}, {Address: "spare-near", Zone: "near"},
 	}}
 	counts := make(map[string]int)
 	for range 4000 {
@@ -365,10 +365,10 @@
 }
 
 func TestSparesAreTakenNearestFirst(t *testing.T) {
-	c := NewCaller(CallerOptions{Place: "near", Region: "r"})
+	c := NewCaller(CallerOptions{Zone: "near", Region: "r"})
 	answer := lynxapi.AddressAnswer{Addresses: []lynxapi.Address{
-		{Address: "main", Place: "near", Weight: 1},
-		{Address: "spare-far", Place: "x"}, {Address: "spare-region", Place: "y", Region: "r"}, {Address: "spare-near", Place: "near"},
+		{Address: "main", Zone: "near", Weight: 1},
+		{Address: "spare-far", Zone: "x"}, {Address: "spare-region", Zone: "y", Region: "r"}, {Address: "spare-near", Zone: "near"},
 	}}
 	var tried []string
 	for _, want := range []string{"main", "spare-near", "spare-region", "spare-far"} {
--- a/internal/client/fake_test.go
+++ b/internal/client/fake_test.go
@@ -47,9 +47,9 @@
 func (i *instance) addr() string { return strings.TrimPrefix(i.server.URL, "http://") }
 
 func (i *instance) address(w http.ResponseWriter, _ *http.Request) {
-	answer := lynxapi.AddressAnswer{KeepMS: 60000, Addresses: []lynxapi.Address{{ID: "a", Address: i.addr(), Place: "near", Weight: 1}}}
+	answer := lynxapi.AddressAnswer{KeepMS: 60000, Addresses: []lynxapi.Address{{ID: "a", Address: i.addr(), Zone: "near", Weight: 1}}}
 	for _, other := range i.others {
-		answer.Addresses = append(answer.Addresses, lynxapi.Address{ID: other, Address: other, Place: "far", Weight: i.weight})
+		answer.Addresses = append(answer.Addresses, lynxapi.Address{ID: other, Address: other, Zone: "far", Weight: i.weight})
 	}
 	i.mu.Lock()
 	answer.Ticket, answer.TicketAdvised = i.ticket, i.ticket != ""
@@ -156,7 +156,7 @@
 
 func newTestCaller(servers ...string) *Caller {
 	return NewCaller(CallerOptions{
-		Servers: servers, Place: "near", Silence: time.Minute,
+		Servers: servers, Zone: "near", IdleTimeout: time.Minute,
 		MinBackoff: time.Millisecond, MaxBackoff: 2 * time.Millisecond,
 	})
 }
--- a/internal/client/fuzz_test.go
+++ b/internal/client/fuzz_test.go
@@ -26,7 +26,7 @@
 	f.Add([]byte("event: error\ndata: {\"kind\":\"overloaded\"}\n\n"))
 	f.Add([]byte("event: end\ndata: {\"key\":\"k\",\"output\":\"abc\"}\n\n"))
 	f.Fuzz(func(t *testing.T, stream []byte) {
-		c := NewCaller(CallerOptions{Silence: time.Hour})
+		c := NewCaller(CallerOptions{IdleTimeout: time.Hour})
 		var got string
 		s := &splice{deliver: func(frame lynxapi.Frame) error {
 			if frame.Offset != len(got) {
--- a/internal/client/send.go
+++ b/internal/client/send.go
@@ -241,7 +241,7 @@
 		return ctx, func() {}
 	}
 	began, wait := time.Now(), c.headerWait(req)
-	timer := time.AfterFunc(wait, func() { giveUp(ErrSilent) })
+	timer := time.AfterFunc(wait, func() { giveUp(ErrIdleTimeout) })
 	connected := func(info httptrace.GotConnInfo) {
 		proven := info.WasIdle && info.IdleTime < provenFor
 		if info.Reused && !proven {
@@ -257,17 +257,17 @@
 // headerWait is how long a new connection's stream may take to begin.
 func (c *Caller) headerWait(req lynxapi.SendRequest) time.Duration {
 	if req.DeadlineMS <= 0 {
-		return c.opts.Silence
+		return c.opts.IdleTimeout
 	}
 	part := time.Duration(req.DeadlineMS) * time.Millisecond / 4
-	return min(c.opts.Silence, max(part, leastHeaderWait))
+	return min(c.opts.IdleTimeout, max(part, leastHeaderWait))
 }
 
 // explainSilence replaces the error of a cancelled call by its cause.
 func explainSilence(ctx context.Context, err error) error {
 	var transport *TransportError
-	if errors.Is(context.Cause(ctx), ErrSilent) && errors.As(err, &transport) {
-		transport.Err = ErrSilent
+	if errors.Is(context.Cause(ctx), ErrIdleTimeout) && errors.As(err, &transport) {
+		transport.Err = ErrIdleTimeout
 	}
 	return err
 }
--- a/internal/client/silent_test.go
+++ b/internal/client/silent_test.go
@@ -57,7 +57,7 @@
 	silent, _ := silentInstance(t)
 	i := newInstance(t, whole)
 	c := newTestCaller(i.addr())
-	c.opts.Silence = time.Hour
+	c.opts.IdleTimeout = time.Hour
 	c.book.keep(lynxapi.AddressAnswer{KeepMS: 60000, Addresses: []lynxapi.Address{
 		{Address: silent, Weight: 1e9}, {Address: i.addr(), Weight: 1e-9},
 	}}, time.Now())
@@ -99,7 +99,7 @@
 				return nil, r.Context().Err()
 			})
 			_, err := caller.sendTo(t.Context(), "a", "check", lynxapi.SendRequest{Stream: true, DeadlineMS: c.deadlineMS}, &splice{})
-			if took := time.Since(start); !errors.Is(err, ErrSilent) || took != c.want {
+			if took := time.Since(start); !errors.Is(err, ErrIdleTimeout) || took != c.want {
 				t.Errorf("%+v: %v after %v", c, err, took)
 			}
 		})
@@ -124,7 +124,7 @@
 				return nil, r.Context().Err()
 			})
 			_, err := caller.sendTo(t.Context(), "a", "check", lynxapi.SendRequest{Stream: true, DeadlineMS: 8000}, &splice{})
-			if took := time.Since(start); !errors.Is(err, ErrSilent) || took != c.want {
+			if took := time.Since(start); !errors.Is(err, ErrIdleTimeout) || took != c.want {
 				t.Errorf("idle for %v: %v after %v, want %v", c.idle, err, took, c.want)
 			}
 		})
--- a/internal/client/stream.go
+++ b/internal/client/stream.go
@@ -19,9 +19,9 @@
 // in the last one.
 const maxEventBytes = 16 << 20
 
-// ErrSilent is the cause of a stream that was given up because it sent nothing,
+// ErrIdleTimeout is the cause of a stream that was given up because it sent nothing,
 // not even a heartbeat.
-var ErrSilent = errors.New("the stream was silent too long")
+var ErrIdleTimeout = errors.New("the stream was silent too long")
 
 // errReceiverStopped says that a FrameFunc returned an error.
 var errReceiverStopped = errors.New("the receiver of the answer stopped")
@@ -113,7 +113,7 @@
 // must not pass for whole.
 func (c *Caller) readStream(base string, body io.ReadCloser, req lynxapi.SendRequest, s *splice) (lynxapi.SendReply, error) {
 	defer body.Close()
-	watch := watchSilence(body, c.opts.Silence)
+	watch := watchSilence(body, c.opts.IdleTimeout)
 	defer watch.stop()
 	s.begin()
 	for event, err := range sse.Read(watch, &sse.ReadConfig{MaxEventSize: maxEventBytes}) {
@@ -210,7 +210,7 @@
 // explain replaces the error of the closed body by its cause.
 func (w *silenceWatch) explain(err error) error {
 	if w.expired.Load() {
-		return ErrSilent
+		return ErrIdleTimeout
 	}
 	return err
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -33,7 +33,7 @@
 // Instance holds the identity and the location of the instance.
 type Instance struct {
 	ID     string `toml:"id"`     // unique among instances; "" = zone and caller address
-	Place  string `toml:"place"`  // availability zone; required
+	Zone   string `toml:"place"`  // availability zone; required
 	Region string `toml:"region"` // required
 }
 
@@ -110,7 +110,7 @@
 // Timings holds the intervals and timeouts of the instance.
 type Timings struct {
 	Heartbeat     Duration `toml:"heartbeat"`      // interval, to a caller that waits for a streamed response
-	Keep          Duration `toml:"keep"`           // how long a caller may cache an address response
+	AddressTTL    Duration `toml:"keep"`           // how long a caller may cache an address response
 	BodyTimeout   Duration `toml:"body_timeout"`   // for a caller to send its whole request
 	WriteTimeout  Duration `toml:"write_timeout"`  // for a caller to receive one piece of the response
 	StopGrace     Duration `toml:"stop_grace"`     // longest wait for requests in flight when stopping; 0s = no limit
@@ -163,23 +163,23 @@
 		},
 		Limits: Limits{MaxBodyKB: 1024, MaxAnswerKB: 4096, MaxInFlight: 4096, MaxQueued: 1024},
 		Timings: Timings{
-			Heartbeat:     Of(time.Second),
-			Keep:          Of(5 * time.Second),
-			BodyTimeout:   Of(10 * time.Second),
-			WriteTimeout:  Of(10 * time.Second),
-			StopGrace:     Of(0),
-			PeerHeartbeat: Of(time.Second),
-			FenceAfter:    Of(12 * time.Second),
-			LeaseTTL:      Of(10 * time.Second),
-			FileCheck:     Of(2 * time.Second),
+			Heartbeat:     DurationOf(time.Second),
+			AddressTTL:    DurationOf(5 * time.Second),
+			BodyTimeout:   DurationOf(10 * time.Second),
+			WriteTimeout:  DurationOf(10 * time.Second),
+			StopGrace:     DurationOf(0),
+			PeerHeartbeat: DurationOf(time.Second),
+			FenceAfter:    DurationOf(12 * time.Second),
+			LeaseTTL:      DurationOf(10 * time.Second),
+			FileCheck:     DurationOf(2 * time.Second),
 		},
 		Routing: Routing{RetryBudget: 0.1, MaxAttempts: 3, MaxEjected: 0.3},
 		Claims: Claims{
 			Shards:          claim.DefaultShards,
 			WindowKB:        claim.DefaultWindowBytes >> 10,
-			Flush:           Of(claim.DefaultFlushInterval),
-			Retention:       Of(claim.DefaultRetention),
-			OpaqueRetention: Of(claim.DefaultOpaqueRetention),
+			Flush:           DurationOf(claim.DefaultFlushInterval),
+			Retention:       DurationOf(claim.DefaultRetention),
+			OpaqueRetention: DurationOf(claim.DefaultOpaqueRetention),
 		},
 		Ingress: defaultIngress(),
 		Log:     Log{Level: "info", Format: FormatLogfmt},
@@ -194,8 +194,8 @@
 	unusable string
 }
 
-// Of returns d as a Duration.
-func Of(d time.Duration) Duration { return Duration{Duration: d} }
+// DurationOf returns d as a Duration.
+func DurationOf(d time.Duration) Duration { return Duration{Duration: d} }
 
 // UnmarshalText implements encoding.TextUnmarshaler. It never fails: Validate reports a
 // value that is not a duration, with its key.
@@ -205,7 +205,7 @@
 		*d = Duration{unusable: string(text)}
 		return nil
 	}
-	*d = Of(parsed)
+	*d = DurationOf(parsed)
 	return nil
 }
 
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -24,7 +24,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if cfg.Timings.Keep.Duration != 7*time.Second || cfg.Timings.Heartbeat != Default().Timings.Heartbeat {
+	if cfg.Timings.AddressTTL.Duration != 7*time.Second || cfg.Timings.Heartbeat != Default().Timings.Heartbeat {
 		t.Fatalf("timings %+v", cfg.Timings)
 	}
 }
@@ -89,7 +89,7 @@
 			}
 			return
 		}
-		if err := cfg.Validate(); err != nil || cfg.Instance.Place == "" {
+		if err := cfg.Validate(); err != nil || cfg.Instance.Zone == "" {
 			t.Fatalf("accepted settings are not valid: %v", err)
 		}
 	})
--- a/internal/config/ingress.go
+++ b/internal/config/ingress.go
@@ -10,18 +10,18 @@
 // declares routes and targets. An instance with a listen address here serves these
 // instead of the caller and admin API.
 type Ingress struct {
-	Listen    string `toml:"listen"`    // for callers' requests; "" = the instance serves no plain requests
-	Readiness string `toml:"readiness"` // for the platform's readiness checks
-	Addresses string `toml:"addresses"` // for callers' address queries; "" = not served
-	Control   string `toml:"control"`   // a second address for other instances, the one that peers.seeds name; "" = none
-	Metrics   string `toml:"metrics"`   // for the metrics page; "" = not served
+	Listen        string `toml:"listen"`    // for callers' requests; "" = the instance serves no plain requests
+	Readiness     string `toml:"readiness"` // for the platform's readiness checks
+	AddressListen string `toml:"addresses"` // for callers' address queries; "" = not served
+	Control       string `toml:"control"`   // a second address for other instances, the one that peers.seeds name; "" = none
+	Metrics       string `toml:"metrics"`   // for the metrics page; "" = not served
 
-	AddressTTL Duration `toml:"address_ttl"` // how long callers may cache an address
-	Grace      Duration `toml:"grace"`       // longest time from the start of a stop to the end of the process
-	Touch      Duration `toml:"touch"`       // time after which a cut-off instance counts as out of touch
-	Apply      Duration `toml:"apply"`       // time within which a change of routes and targets has to be in force
-	FailClosed bool     `toml:"fail_closed"` // refuse all requests if keys were not confirmed for Revocation
-	Revocation Duration `toml:"revocation"`
+	AddressTTL      Duration `toml:"address_ttl"` // how long callers may cache an address
+	Grace           Duration `toml:"grace"`       // longest time from the start of a stop to the end of the process
+	OutOfTouchAfter Duration `toml:"touch"`       // time after which a cut-off instance counts as out of touch
+	ApplyWithin     Duration `toml:"apply"`       // time within which a change of routes and targets has to be in force
+	FailClosed      bool     `toml:"fail_closed"` // refuse all requests if keys were not confirmed for Revocation
+	Revocation      Duration `toml:"revocation"`
 
 	RetryRatio  float64  `toml:"retry_ratio"`  // retries allowed per request
 	RetryWindow Duration `toml:"retry_window"` // period over which requests and retries are counted
@@ -48,16 +48,16 @@
 
 func defaultIngress() Ingress {
 	return Ingress{
-		AddressTTL:  Of(2 * time.Second),
-		Grace:       Of(8 * time.Second),
-		Touch:       Of(3 * time.Second),
-		Apply:       Of(5 * time.Second),
-		Revocation:  Of(5 * time.Second),
-		RetryRatio:  0.1,
-		RetryWindow: Of(10 * time.Second),
-		RetryExtra:  10,
-		ReuseWindow: Of(10 * time.Second),
-		ColdOverage: 1,
+		AddressTTL:      DurationOf(2 * time.Second),
+		Grace:           DurationOf(8 * time.Second),
+		OutOfTouchAfter: DurationOf(3 * time.Second),
+		ApplyWithin:     DurationOf(5 * time.Second),
+		Revocation:      DurationOf(5 * time.Second),
+		RetryRatio:      0.1,
+		RetryWindow:     DurationOf(10 * time.Second),
+		RetryExtra:      10,
+		ReuseWindow:     DurationOf(10 * time.Second),
+		ColdOverage:     1,
 	}
 }
 
@@ -95,8 +95,8 @@
 		checkInt("ingress.descriptors", i.Descriptors, 0, math.MaxInt32),
 		checkDuration("ingress.address_ttl", i.AddressTTL, minDuration),
 		checkDuration("ingress.grace", i.Grace, minDuration),
-		checkDuration("ingress.touch", i.Touch, minDuration),
-		checkDuration("ingress.apply", i.Apply, minApply),
+		checkDuration("ingress.touch", i.OutOfTouchAfter, minDuration),
+		checkDuration("ingress.apply", i.ApplyWithin, minApply),
 		checkDuration("ingress.revocation", i.Revocation, minDuration),
 		checkDuration("ingress.retry_window", i.RetryWindow, minDuration),
 		checkDuration("ingress.reuse_window", i.ReuseWindow, minDuration),
--- a/internal/config/ingress_test.go
+++ b/internal/config/ingress_test.go
@@ -11,7 +11,7 @@
 func TestIngressSettings(t *testing.T) {
 	cfg, err := Parse([]byte(plainRequests + "grace = \"3s\"\nretry_ratio = 0.25\nfail_closed = true\n"))
 	i := cfg.Ingress
-	if err != nil || !i.Enabled() || i.Grace.Duration != 3*time.Second || i.RetryRatio != 0.25 || !i.FailClosed || i.Touch != Default().Ingress.Touch {
+	if err != nil || !i.Enabled() || i.Grace.Duration != 3*time.Second || i.RetryRatio != 0.25 || !i.FailClosed || i.OutOfTouchAfter != Default().Ingress.OutOfTouchAfter {
 		t.Errorf("%v, %+v", err, i)
 	}
 	tests := []struct{ name, replace, by, want string }{
@@ -43,7 +43,7 @@
 
 func TestDifferencesNameTheKeys(t *testing.T) {
 	a, b := Default(), Default()
-	b.Instance.Place, b.Peers.Seeds, b.Ingress.Touch, b.Ingress.FailClosed = "p", []string{"127.0.0.1:1"}, Of(time.Minute), true
+	b.Instance.Zone, b.Peers.Seeds, b.Ingress.OutOfTouchAfter, b.Ingress.FailClosed = "p", []string{"127.0.0.1:1"}, DurationOf(time.Minute), true
 	got := strings.Join(Differences(a, b), " ")
 	if want := "instance.place peers.seeds ingress.touch ingress.fail_closed"; got != want || len(Differences(b, b)) != 0 {
 		t.Errorf("%q, want %q", got, want)
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -41,7 +41,7 @@
 // complete fills in the default of instance.id, which is derived from other settings.
 func (c *Config) complete() {
 	if c.Instance.ID == "" {
-		c.Instance.ID = c.Instance.Place + "/" + c.Listen.callerAddress()
+		c.Instance.ID = c.Instance.Zone + "/" + c.Listen.callerAddress()
 	}
 }
 
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -53,7 +53,7 @@
 }
 
 func (i Instance) validate() error {
-	if i.Place == "" {
+	if i.Zone == "" {
 		return settingError("instance.place", "is missing; name the availability zone of this instance")
 	}
 	if i.Region == "" {
@@ -213,7 +213,7 @@
 func (t Timings) validate() error {
 	return firstError(
 		checkDuration("timings.heartbeat", t.Heartbeat, minDuration),
-		checkDuration("timings.keep", t.Keep, minDuration),
+		checkDuration("timings.keep", t.AddressTTL, minDuration),
 		checkDuration("timings.body_timeout", t.BodyTimeout, minDuration),
 		checkDuration("timings.write_timeout", t.WriteTimeout, minDuration),
 		checkDuration("timings.stop_grace", t.StopGrace, 0),
--- a/internal/control/discovery/discovery.go
+++ b/internal/control/discovery/discovery.go
@@ -65,21 +65,21 @@
 // isLister reports whether this instance is one of the listers of its zone, that
 // is, the instances that read the list at the fast rate.
 func (c *Controller) isLister() bool {
-	live := c.opts.Board.LiveMembersIn(c.opts.Place, c.opts.Self)
-	return rendezvous.Position(rankKey+c.opts.Place, c.opts.Self, live) < c.opts.Listers
+	live := c.opts.Board.LiveMembersIn(c.opts.Zone, c.opts.Self)
+	return rendezvous.Position(rankKey+c.opts.Zone, c.opts.Self, live) < c.opts.Listers
 }
 
 // pause waits until the next read is due. If all instances read at the rate of a
 // lister, the platform would get 185 reads a second from 370 instances.
 func (c *Controller) pause(ctx context.Context, unknown <-chan struct{}) {
 	if c.isLister() || c.opts.Board.Targets.Len() == 0 {
-		loop.Sleep(ctx, c.opts.Clock, c.rand.Spread(c.opts.ListEvery, jitter))
+		loop.Sleep(ctx, c.opts.Clock, c.rand.Jitter(c.opts.ListEvery, jitter))
 		return
 	}
-	if !loop.Sleep(ctx, c.opts.Clock, c.rand.Spread(min(unknownEvery, c.opts.SlowListEvery), jitter)) {
+	if !loop.Sleep(ctx, c.opts.Clock, c.rand.Jitter(min(unknownEvery, c.opts.SlowListEvery), jitter)) {
 		return
 	}
-	timer := c.opts.Clock.NewTimer(c.rand.Spread(c.opts.SlowListEvery, jitter))
+	timer := c.opts.Clock.NewTimer(c.rand.Jitter(c.opts.SlowListEvery, jitter))
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
--- a/internal/control/discovery/discovery_test.go
+++ b/internal/control/discovery/discovery_test.go
@@ -21,13 +21,13 @@
 const lag = 5 * time.Second
 
 func engine(id, state string) store.Instance {
-	return store.Instance{ID: id, Service: "lynx-pool", Kind: "generate", Address: id + ":1", Place: "lac-a", State: state}
+	return store.Instance{ID: id, Service: "lynx-pool", Kind: "generate", Address: id + ":1", Zone: "lac-a", State: state}
 }
 
 func start(s *memstore.Store, b *board.Board, self string) (*Controller, func()) {
 	c := New(Options{
 		Store: s, Board: b, Clock: quartz.NewReal(), Rand: rand.New(rand.NewPCG(3, 4)),
-		Self: self, Place: "lac-a",
+		Self: self, Zone: "lac-a",
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -201,7 +201,7 @@
 	if prefix != PullPrefix {
 		return nil, 0, false, store.ErrNotFound
 	}
-	objects, mark, more := p.from.Since(after)
+	objects, mark, more := p.from.TargetsSince(after)
 	return objects, mark, more, nil
 }
 
@@ -221,7 +221,7 @@
 		b := board.New()
 		b.Members.Put("i-1", board.Member{ID: "i-1", State: board.MemberAlive})
 		c := New(Options{
-			Store: s, Board: b, Clock: quartz.NewReal(), Self: "i-0", Place: "lac-a", Peers: peerPull{neighbour},
+			Store: s, Board: b, Clock: quartz.NewReal(), Self: "i-0", Zone: "lac-a", Peers: peerPull{neighbour},
 		})
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan struct{})
--- a/internal/control/discovery/fleet_test.go
+++ b/internal/control/discovery/fleet_test.go
@@ -62,12 +62,12 @@
 	b := board.New()
 	for j := range instances {
 		id := fmt.Sprintf("i-%03d", j)
-		b.Members.Put(id, board.Member{ID: id, State: board.MemberAlive, Place: fmt.Sprint("place-", j%7)})
+		b.Members.Put(id, board.Member{ID: id, State: board.MemberAlive, Zone: fmt.Sprint("place-", j%7)})
 	}
 	c := New(Options{
 		Store: f.store, Board: b, Clock: quartz.NewReal(), Rand: rand.New(rand.NewPCG(uint64(i), 6)),
-		Self: fmt.Sprintf("i-%03d", i), Place: fmt.Sprint("place-", i%7),
-		Hurry: func() { go f.spread(i) },
+		Self: fmt.Sprintf("i-%03d", i), Zone: fmt.Sprint("place-", i%7),
+		RequestExchanges: func() { go f.spread(i) },
 	})
 	f.running.Go(func() { c.Run(ctx) })
 	return c
--- a/internal/control/discovery/gossip.go
+++ b/internal/control/discovery/gossip.go
@@ -41,7 +41,7 @@
 			return false
 		}
 		used += size
-		digest.Loads = append(digest.Loads, gossip.Load{Target: t.ID, Age: now.Sub(t.Sign()), Leaving: true})
+		digest.Loads = append(digest.Loads, gossip.Load{Target: t.ID, Age: now.Sub(t.LeavingSignTime()), Leaving: true})
 		return true
 	}
 	for _, t := range hot {
@@ -69,7 +69,7 @@
 // newest first, and the others by id.
 func (c *Controller) marksToSend(now time.Time) (hot, others []board.Target) {
 	for _, t := range c.opts.Board.Targets.Snapshot() {
-		switch age := now.Sub(t.Sign()); {
+		switch age := now.Sub(t.LeavingSignTime()); {
 		case !t.Leaving || age >= markGossipTime:
 		case age < newMarkTime:
 			hot = append(hot, t)
@@ -77,7 +77,7 @@
 			others = append(others, t)
 		}
 	}
-	sort.Slice(hot, func(i, j int) bool { return hot[i].Sign().After(hot[j].Sign()) })
+	sort.Slice(hot, func(i, j int) bool { return hot[i].LeavingSignTime().After(hot[j].LeavingSignTime()) })
 	sort.Slice(others, func(i, j int) bool { return others[i].ID < others[j].ID })
 	return hot, others
 }
@@ -88,15 +88,15 @@
 func (c *Controller) spreadNewMarks(ctx context.Context) {
 	known := make(map[string]bool)
 	loop.Run(ctx, loop.Options{
-		Clock: c.opts.Clock, Rand: c.rand, Period: markGossipTime, Changed: c.opts.Board.Targets.Changed, Settle: spreadInterval,
+		Clock: c.opts.Clock, Rand: c.rand, Period: markGossipTime, Changed: c.opts.Board.Targets.Changed, MinInterval: spreadInterval,
 	}, func(context.Context) {
 		newMark := false
 		for id, t := range c.opts.Board.Targets.Snapshot() {
 			newMark = newMark || t.Leaving && !known[id]
 			known[id] = t.Leaving
 		}
-		if newMark && c.opts.Hurry != nil {
-			c.opts.Hurry()
+		if newMark && c.opts.RequestExchanges != nil {
+			c.opts.RequestExchanges()
 		}
 	})
 }
--- a/internal/control/discovery/merge.go
+++ b/internal/control/discovery/merge.go
@@ -14,7 +14,7 @@
 func targetOf(i store.Instance) board.Target {
 	return board.Target{
 		ID: i.ID, Service: i.Service, Kind: profile.Kind(i.Kind), Provider: i.Provider,
-		Address: i.Address, Place: i.Place, Region: i.Region, ChecksFence: i.ChecksFence,
+		Address: i.Address, Zone: i.Zone, Region: i.Region, ChecksFence: i.ChecksFence,
 	}
 }
 
@@ -50,7 +50,7 @@
 // after the list shows it leaving. Both must therefore be newer than the mark by
 // more than ListLag.
 func (c *Controller) liveAgain(t board.Target, asked time.Time, load board.Load, hasLoad bool) bool {
-	after := t.Sign().Add(c.opts.ListLag)
+	after := t.LeavingSignTime().Add(c.opts.ListLag)
 	if !asked.After(after) {
 		return false
 	}
--- a/internal/control/discovery/peers.go
+++ b/internal/control/discovery/peers.go
@@ -28,9 +28,9 @@
 	Pull(ctx context.Context, instance, prefix string, after uint64) (objects []store.Object, mark uint64, more bool, err error)
 }
 
-// Since answers a peer's pull: the targets after a position in the list sorted by
+// TargetsSince answers a peer's pull: the targets after a position in the list sorted by
 // id.
-func (c *Controller) Since(after uint64) (objects []store.Object, mark uint64, more bool) {
+func (c *Controller) TargetsSince(after uint64) (objects []store.Object, mark uint64, more bool) {
 	targets := c.opts.Board.Targets.Snapshot()
 	ids := make([]string, 0, len(targets))
 	for id := range targets {
@@ -58,7 +58,7 @@
 		state = platformapi.StateLeaving
 	}
 	return store.Instance{
-		ID: t.ID, Service: t.Service, Kind: string(t.Kind), Address: t.Address, Place: t.Place, Region: t.Region,
+		ID: t.ID, Service: t.Service, Kind: string(t.Kind), Address: t.Address, Zone: t.Zone, Region: t.Region,
 		Provider: t.Provider, State: state, ChecksFence: t.ChecksFence,
 	}
 }
--- a/internal/control/drain/drain.go
+++ b/internal/control/drain/drain.go
@@ -49,7 +49,7 @@
 	Logger  *event.Logger
 	Metrics *metrics.Registry
 	Self    string
-	Place   string
+	Zone    string
 }
 
 // Controller derives board.Drains and the Draining field of board.Self from the
@@ -69,7 +69,7 @@
 func (c *Controller) Run(ctx context.Context) {
 	loop.Run(ctx, loop.Options{
 		Clock: c.opts.Clock, Rand: c.rand, Period: period, Jitter: jitter,
-		Changed: c.opts.Board.Objects.Changed, Settle: settle,
+		Changed: c.opts.Board.Objects.Changed, MinInterval: settle,
 	}, func(context.Context) { c.Step() })
 }
 
@@ -117,7 +117,7 @@
 // markSelf sets the Draining field of this instance's row.
 func (c *Controller) markSelf() {
 	b := c.opts.Board
-	draining := b.Drained(board.DrainInstance+c.opts.Self) || b.Drained(board.DrainPlace+c.opts.Place)
+	draining := b.Drained(board.DrainInstance+c.opts.Self) || b.Drained(board.DrainZone+c.opts.Zone)
 	b.Self.Update(board.SelfRow, func(self board.Self, _ bool) (board.Self, bool) {
 		if self.Draining == draining {
 			return self, false
--- a/internal/control/drain/drain_test.go
+++ b/internal/control/drain/drain_test.go
@@ -28,7 +28,7 @@
 	b := board.New()
 	ctx, cancel := context.WithCancel(context.Background())
 	n := &testInstance{board: b, stop: cancel, running: &sync.WaitGroup{}, controller: New(Options{
-		Store: s, Board: b, Clock: quartz.NewReal(), Rand: rand.New(rand.NewPCG(1, 1)), Self: "i-0", Place: "lac-a",
+		Store: s, Board: b, Clock: quartz.NewReal(), Rand: rand.New(rand.NewPCG(1, 1)), Self: "i-0", Zone: "lac-a",
 	})}
 	n.running.Go(func() { syncObjects(ctx, s, b) })
 	n.running.Go(func() { n.controller.Run(ctx) })
@@ -132,7 +132,7 @@
 	b := board.New()
 	b.Objects.Put(KeyPrefix+"place/lac-a", board.ConfigObject{Version: 3, Value: []byte("yes")})
 	b.Objects.Put("limits/place/lac-b", board.ConfigObject{Version: 4, Value: []byte("{}")})
-	c := New(Options{Board: b, Clock: quartz.NewReal(), Self: "i-0", Place: "lac-a"})
+	c := New(Options{Board: b, Clock: quartz.NewReal(), Self: "i-0", Zone: "lac-a"})
 	c.Step()
 	if self, _ := b.Self.Get(board.SelfRow); !self.Draining || b.Drains.Len() != 1 {
 		t.Errorf("self %+v, %d drains", self, b.Drains.Len())
--- a/internal/control/lease/candidate.go
+++ b/internal/control/lease/candidate.go
@@ -278,5 +278,5 @@
 }
 
 func (c *candidate) jittered(d time.Duration) time.Duration {
-	return c.m.rand.Spread(d, jitter)
+	return c.m.rand.Jitter(d, jitter)
 }
--- a/internal/control/lease/check.go
+++ b/internal/control/lease/check.go
@@ -13,8 +13,8 @@
 	UncheckedFrom time.Duration
 }
 
-// Lessor reports whether this instance may give orders. Manager implements it.
-type Lessor interface {
+// Checker reports whether this instance may give orders. Manager implements it.
+type Checker interface {
 	// Check reports whether an order that takes up to need may be given now.
 	// checksFence says whether the engine checks fencing numbers. The result
 	// depends on the boot clock, so call Check directly before each order.
--- a/internal/control/limits/limits.go
+++ b/internal/control/limits/limits.go
@@ -126,7 +126,7 @@
 	wg.Go(func() { c.runTicks(ctx) })
 	wg.Go(func() {
 		loop.Run(ctx, loop.Options{
-			Clock: c.options.Clock, Rand: loop.NewRand(nil), Period: resyncInterval, Settle: resyncSettle,
+			Clock: c.options.Clock, Rand: loop.NewRand(nil), Period: resyncInterval, MinInterval: resyncSettle,
 			Changed: c.options.Board.Objects.Changed,
 		}, func(context.Context) { c.Step() })
 	})
--- a/internal/control/limits/overshoot_test.go
+++ b/internal/control/limits/overshoot_test.go
@@ -137,7 +137,7 @@
 		n++
 	}
 	for range n {
-		leave, err := c.admitter.Admit(context.Background(), admission.Entry{Organisation: testOrganisation, Priority: 5})
+		leave, err := c.admitter.Admit(context.Background(), admission.AdmitRequest{Organisation: testOrganisation, Priority: 5})
 		if err != nil {
 			continue
 		}
--- a/internal/control/loadview/bench_test.go
+++ b/internal/control/loadview/bench_test.go
@@ -16,13 +16,13 @@
 	for i := range 370 {
 		id := fmt.Sprintf("i-%03d", i)
 		zone, region := zoneOf(i, 7)
-		b.Members.Put(id, board.Member{ID: id, State: board.MemberAlive, Place: zone, Region: region})
+		b.Members.Put(id, board.Member{ID: id, State: board.MemberAlive, Zone: zone, Region: region})
 	}
-	c := New(Options{Board: b, Clock: quartz.NewReal(), Self: "i-000", Place: "place-0", Region: "region-0"})
+	c := New(Options{Board: b, Clock: quartz.NewReal(), Self: "i-000", Zone: "place-0", Region: "region-0"})
 	for i := range 600 {
 		id := fmt.Sprintf("lynx-pool-%03d", i)
 		zone, region := zoneOf(i, 7)
-		b.Targets.Put(id, board.Target{ID: id, Place: zone, Region: region})
+		b.Targets.Put(id, board.Target{ID: id, Zone: zone, Region: region})
 		c.Observe(id, targetapi.LoadReport{Seq: 1, Running: 3, Slots: 8})
 	}
 	return c
@@ -44,7 +44,7 @@
 	targets := c.opts.Board.Targets.Snapshot()
 	b.ReportAllocs()
 	for b.Loop() {
-		f := fleetOf(c.opts.Board, c.opts.Self, c.opts.Place, c.opts.Region)
+		f := fleetOf(c.opts.Board, c.opts.Self, c.opts.Zone, c.opts.Region)
 		for _, t := range targets {
 			f.isPoller(c.opts.Self, t, DefaultPollersPerTarget)
 		}
--- a/internal/control/loadview/gossip.go
+++ b/internal/control/loadview/gossip.go
@@ -115,7 +115,7 @@
 // receiver's zone, 1 if it is in another zone of the region, else 2.
 func nearness(t board.Target, receiver board.Member) int {
 	switch {
-	case t.Place == receiver.Place:
+	case t.Zone == receiver.Zone:
 		return 0
 	case t.Region == receiver.Region:
 		return 1
--- a/internal/control/loadview/loadview.go
+++ b/internal/control/loadview/loadview.go
@@ -58,7 +58,7 @@
 // the state of targets that are no longer on the board.
 func (c *Controller) assign(ctx context.Context, polls *loop.Tasks) {
 	targets := c.opts.Board.Targets.Snapshot()
-	f := fleetOf(c.opts.Board, c.opts.Self, c.opts.Place, c.opts.Region)
+	f := fleetOf(c.opts.Board, c.opts.Self, c.opts.Zone, c.opts.Region)
 	var own []string
 	for id, t := range targets {
 		if f.isPoller(c.opts.Self, t, c.opts.PollersPerTarget) {
--- a/internal/control/loadview/loadview_test.go
+++ b/internal/control/loadview/loadview_test.go
@@ -15,9 +15,9 @@
 func controller(self string) *Controller {
 	b := board.New()
 	for _, id := range []string{"t-1", "t-2"} {
-		b.Targets.Put(id, board.Target{ID: id, Place: "lac-a", Region: "tunis"})
+		b.Targets.Put(id, board.Target{ID: id, Zone: "lac-a", Region: "tunis"})
 	}
-	return New(Options{Board: b, Clock: quartz.NewReal(), Self: self, Place: "lac-a", Region: "tunis"})
+	return New(Options{Board: b, Clock: quartz.NewReal(), Self: self, Zone: "lac-a", Region: "tunis"})
 }
 
 // sendDigest sends a digest from one instance to another with a transit delay.
--- a/internal/control/loadview/options.go
+++ b/internal/control/loadview/options.go
@@ -38,7 +38,7 @@
 	Logger  *event.Logger
 	Metrics *metrics.Registry
 	Self    string
-	Place   string
+	Zone    string
 	Region  string
 	// PollEvery is the interval at which each poller of a target requests its load.
 	PollEvery time.Duration
--- a/internal/control/loadview/pollers.go
+++ b/internal/control/loadview/pollers.go
@@ -22,7 +22,7 @@
 func fleetOf(b *board.Board, self, zone, region string) fleet {
 	f := fleet{byZone: make(map[string][]string), byRegion: make(map[string][]string)}
 	members := b.Members.Snapshot()
-	members[self] = board.Member{ID: self, State: board.MemberAlive, Place: zone, Region: region}
+	members[self] = board.Member{ID: self, State: board.MemberAlive, Zone: zone, Region: region}
 	for id, m := range members {
 		if m.State == board.MemberAlive {
 			f.all = append(f.all, id)
@@ -31,7 +31,7 @@
 	sort.Strings(f.all)
 	for _, id := range f.all {
 		m := members[id]
-		f.byZone[m.Place] = append(f.byZone[m.Place], id)
+		f.byZone[m.Zone] = append(f.byZone[m.Zone], id)
 		f.byRegion[m.Region] = append(f.byRegion[m.Region], id)
 	}
 	return f
@@ -41,7 +41,7 @@
 // since they are closest and need its load most; if there are too few, those in
 // its region; else all.
 func (f fleet) candidates(t board.Target, pollers int) []string {
-	if near := f.byZone[t.Place]; len(near) >= pollers {
+	if near := f.byZone[t.Zone]; len(near) >= pollers {
 		return near
 	}
 	if near := f.byRegion[t.Region]; len(near) >= pollers {
--- a/internal/control/loadview/pollers_test.go
+++ b/internal/control/loadview/pollers_test.go
@@ -22,11 +22,11 @@
 	b := board.New()
 	for i := range instances {
 		id := fmt.Sprintf("i-%02d", i)
-		b.Members.Put(id, board.Member{ID: id, State: board.MemberAlive, Place: fmt.Sprint("p-", i%4), Region: "tunis"})
+		b.Members.Put(id, board.Member{ID: id, State: board.MemberAlive, Zone: fmt.Sprint("p-", i%4), Region: "tunis"})
 	}
 	for i := range targets {
 		id := fmt.Sprintf("t-%02d", i)
-		b.Targets.Put(id, board.Target{ID: id, Place: fmt.Sprint("p-", i%4), Region: "tunis"})
+		b.Targets.Put(id, board.Target{ID: id, Zone: fmt.Sprint("p-", i%4), Region: "tunis"})
 	}
 	return b
 }
@@ -40,7 +40,7 @@
 		if m.State != board.MemberAlive {
 			continue
 		}
-		f := fleetOf(b, id, m.Place, m.Region)
+		f := fleetOf(b, id, m.Zone, m.Region)
 		for target, t := range b.Targets.Snapshot() {
 			if f.isPoller(id, t, pollers) {
 				counts[target]++
@@ -145,7 +145,7 @@
 func TestDigestsStayWithinTheBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := boardOf(16, 40)
-		c := New(Options{Board: b, Clock: quartz.NewReal(), Self: "i-00", Place: "p-0", Region: "tunis"})
+		c := New(Options{Board: b, Clock: quartz.NewReal(), Self: "i-00", Zone: "p-0", Region: "tunis"})
 		for i := range 40 {
 			c.Observe(fmt.Sprintf("t-%02d", i), targetapi.LoadReport{Seq: 1, Models: []targetapi.LoadedModel{{Model: "lynx", Version: "v1"}}})
 		}
--- a/internal/control/loadview/trial_test.go
+++ b/internal/control/loadview/trial_test.go
@@ -80,7 +80,7 @@
 	for i := range c.instances {
 		zone, region := zoneOf(i, c.zones)
 		id := fmt.Sprintf("i-%03d", i)
-		members[id] = board.Member{ID: id, State: board.MemberAlive, Place: zone, Region: region}
+		members[id] = board.Member{ID: id, State: board.MemberAlive, Zone: zone, Region: region}
 	}
 	for i := range c.instances {
 		f.members = append(f.members, f.newMember(i, members))
@@ -96,12 +96,12 @@
 	for j := range f.c.targets {
 		zone, region := zoneOf(j, f.c.zones)
 		id := fmt.Sprintf("lynx-pool-%03d", j)
-		b.Targets.Put(id, board.Target{ID: id, Kind: profile.KindEncode, Place: zone, Region: region})
+		b.Targets.Put(id, board.Target{ID: id, Kind: profile.KindEncode, Zone: zone, Region: region})
 	}
 	zone, region := zoneOf(i, f.c.zones)
 	return New(Options{
 		Caller: f.caller, Board: b, Clock: quartz.NewReal(), Rand: rand.New(rand.NewPCG(uint64(i), 3)),
-		Self: fmt.Sprintf("i-%03d", i), Place: zone, Region: region, PollersPerTarget: f.c.pollers,
+		Self: fmt.Sprintf("i-%03d", i), Zone: zone, Region: region, PollersPerTarget: f.c.pollers,
 	})
 }
 
@@ -177,7 +177,7 @@
 	now := time.Now()
 	for i := 0; i < len(f.members); i += max(1, len(f.members)/16) {
 		m := f.members[i]
-		self := board.Member{Place: m.opts.Place, Region: m.opts.Region}
+		self := board.Member{Zone: m.opts.Zone, Region: m.opts.Region}
 		loads := m.opts.Board.Loads.Snapshot()
 		for id, t := range m.opts.Board.Targets.Snapshot() {
 			near := nearness(t, self)
--- a/internal/control/loop/loop.go
+++ b/internal/control/loop/loop.go
@@ -33,9 +33,9 @@
 	return r.src.Float64()
 }
 
-// Spread returns d with a jitter of up to share in both directions, so that
+// Jitter returns d with a jitter of up to share in both directions, so that
 // instances started together do not call the platform at the same time.
-func (r *Rand) Spread(d time.Duration, share float64) time.Duration {
+func (r *Rand) Jitter(d time.Duration, share float64) time.Duration {
 	return time.Duration(float64(d) * (1 - share + 2*share*r.Float64()))
 }
 
@@ -50,9 +50,9 @@
 	// what the step reads. Run calls it before each step, so that no change is
 	// missed.
 	Changed func() <-chan struct{}
-	// Settle is the shortest time between two steps, so that many simultaneous
+	// MinInterval is the shortest time between two steps, so that many simultaneous
 	// changes cause one step.
-	Settle time.Duration
+	MinInterval time.Duration
 }
 
 // Run calls step until ctx ends.
@@ -63,10 +63,10 @@
 			changed = o.Changed()
 		}
 		step(ctx)
-		if !Sleep(ctx, o.Clock, o.Settle) {
+		if !Sleep(ctx, o.Clock, o.MinInterval) {
 			return
 		}
-		SleepOr(ctx, o.Clock, o.Rand.Spread(o.Period, o.Jitter), changed)
+		SleepOr(ctx, o.Clock, o.Rand.Jitter(o.Period, o.Jitter), changed)
 	}
 }
 
--- a/internal/control/loop/loop_test.go
+++ b/internal/control/loop/loop_test.go
@@ -21,7 +21,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		go Run(ctx, Options{
 			Clock: quartz.NewReal(), Rand: NewRand(rand.New(rand.NewPCG(1, 1))), Period: time.Minute,
-			Changed: signal.Wait, Settle: time.Second,
+			Changed: signal.Wait, MinInterval: time.Second,
 		}, func(context.Context) { at = append(at, time.Since(began)) })
 		time.Sleep(10 * time.Second)
 		signal.Notify()
--- a/internal/control/orders/controller.go
+++ b/internal/control/orders/controller.go
@@ -145,7 +145,7 @@
 	var engines []Engine
 	for _, t := range targets {
 		state := s.engines[t.ID]
-		e := Engine{ID: t.ID, Place: t.Place}
+		e := Engine{ID: t.ID, Zone: t.Zone}
 		if state != nil && !state.at.IsZero() {
 			r := state.report
 			e.Models, e.Role, e.Running, e.Queued, e.Slots = r.Models, r.Role, r.Running, r.Queued, r.Slots
--- a/internal/control/orders/controller_test.go
+++ b/internal/control/orders/controller_test.go
@@ -43,7 +43,7 @@
 func boardWith(f *fakeEngines) *board.Board {
 	b := board.New()
 	for id, e := range f.engines {
-		b.Targets.Put(id, board.Target{ID: id, Service: pool, Kind: profile.KindGenerate, ChecksFence: e.checksFence, Place: "lac-a"})
+		b.Targets.Put(id, board.Target{ID: id, Service: pool, Kind: profile.KindGenerate, ChecksFence: e.checksFence, Zone: "lac-a"})
 	}
 	return b
 }
--- a/internal/control/orders/input.go
+++ b/internal/control/orders/input.go
@@ -13,8 +13,8 @@
 
 // Engine is the planner's view of an engine.
 type Engine struct {
-	ID    string
-	Place string
+	ID   string
+	Zone string
 	// Usable is whether the engine responds, is not leaving and is not drained.
 	// Engines that are not usable get no orders and do not count as ready.
 	Usable bool
--- a/internal/control/orders/options.go
+++ b/internal/control/orders/options.go
@@ -42,7 +42,7 @@
 	Caller  stagecall.Caller
 	Store   store.Writer
 	Board   *board.Board
-	Lease   lease.Lessor
+	Lease   lease.Checker
 	Boot    clock.Boot
 	Clock   clock.Clock
 	Rand    *rand.Rand
--- a/internal/control/orders/plan.go
+++ b/internal/control/orders/plan.go
@@ -138,15 +138,15 @@
 	inZone := make(map[string]int)
 	for _, e := range p.engines {
 		if _, has := e.model(v); has && e.Usable {
-			inZone[e.Place]++
+			inZone[e.Zone]++
 		}
 	}
 	return p.best(func(i int, e Engine) bool {
 		_, has := e.model(v)
 		return !has && len(e.Models)+p.reserved[i] < p.input.ModelsPerEngine
 	}, func(a, b Engine) bool {
-		if inZone[a.Place] != inZone[b.Place] {
-			return inZone[a.Place] < inZone[b.Place]
+		if inZone[a.Zone] != inZone[b.Zone] {
+			return inZone[a.Zone] < inZone[b.Zone]
 		}
 		if len(a.Models) != len(b.Models) {
 			return len(a.Models) < len(b.Models)
--- a/internal/control/orders/plan_test.go
+++ b/internal/control/orders/plan_test.go
@@ -20,7 +20,7 @@
 	f := PlanInput{ModelsPerEngine: 1 + rng.IntN(3), Loads: rng.IntN(4), MaxLoading: 1 + rng.IntN(3)}
 	versions := randomVersions(rng, &f)
 	for i := range 1 + rng.IntN(8) {
-		e := Engine{ID: engineID(i), Place: fmt.Sprint("place-", rng.IntN(3)), Usable: rng.Float64() < 0.85, Slots: 8, Running: rng.IntN(9)}
+		e := Engine{ID: engineID(i), Zone: fmt.Sprint("place-", rng.IntN(3)), Usable: rng.Float64() < 0.85, Slots: 8, Running: rng.IntN(9)}
 		for _, v := range versions {
 			if rng.Float64() < 0.4 && len(e.Models) < f.ModelsPerEngine {
 				e.Models = append(e.Models, targetapi.LoadedModel{Model: v.Model, Version: v.Version, Ready: rng.Float64() < 0.8})
--- a/internal/control/orders/send.go
+++ b/internal/control/orders/send.go
@@ -61,7 +61,7 @@
 	}
 	order.Fence = grant.Fence
 	now := c.opts.Boot.SinceBoot()
-	c.opts.Checker.Check(now < grant.Until, invariant.OneOrderGiver,
+	c.opts.Checker.Check(now < grant.Until, invariant.OrdersUnderLease,
 		"order to %s of %s with fence %d after the lease's end", t.ID, s.name, grant.Fence)
 	callCtx = loop.WithBootDeadline(callCtx, c.opts.Boot, now+timeout)
 	err := c.opts.Caller.Order(callCtx, stagecall.Target{ID: t.ID, Address: t.Address}, order)
@@ -104,7 +104,7 @@
 		result, id = resultOldFence, event.OrderOldFence
 	default:
 		result, id = resultFailed, event.OrderFailed
-		state.retryAt = c.opts.Clock.Now().Add(c.rand.Spread(backoff(state.failures), jitter))
+		state.retryAt = c.opts.Clock.Now().Add(c.rand.Jitter(backoff(state.failures), jitter))
 		state.failures++
 	}
 	c.opts.Metrics.Labelled(metricOrders).Add(step.Order.Kind+"_"+result, 1)
--- a/internal/control/profilesync/confirm.go
+++ b/internal/control/profilesync/confirm.go
@@ -51,7 +51,7 @@
 				return outcomeOf(now, c)
 			}
 		}
-		if !loop.Sleep(ctx, m.o.Clock, m.rand.Spread(pause, 0.5)) {
+		if !loop.Sleep(ctx, m.o.Clock, m.rand.Jitter(pause, 0.5)) {
 			return versionedProfile{}, 0, unresolvedError(c, mayBeWritten)
 		}
 	}
@@ -65,7 +65,7 @@
 		if err == nil {
 			return outcomeOf(now, c)
 		}
-		if !loop.Sleep(ctx, m.o.Clock, m.rand.Spread(confirmRetryMin, 0.5)) {
+		if !loop.Sleep(ctx, m.o.Clock, m.rand.Jitter(confirmRetryMin, 0.5)) {
 			if mayBeWritten {
 				return versionedProfile{}, 0, unresolvedError(c, true)
 			}
--- a/internal/control/profilesync/fleet_test.go
+++ b/internal/control/profilesync/fleet_test.go
@@ -164,9 +164,9 @@
 	n.members = membership.New(membership.Options{
 		Self:  virtualtest.Member(i),
 		Board: n.board, Clock: f.clock, Boot: boot, Rand: rand.New(rand.NewPCG(uint64(i), uint64(n.life))),
-		Transport: client, Lister: n.link, Parts: []gossip.Part{n.sync},
+		Transport: client, Lister: n.link, Parts: []gossip.Participant{n.sync},
 	})
-	f.net.Join(n.addr, mempeer.Node{Handle: n.members.Handle, Since: n.sync.Since})
+	f.net.Join(n.addr, mempeer.Instance{Handle: n.members.HandleExchange, Since: n.sync.ObjectsSince})
 	ctx, cancel := context.WithCancel(context.Background())
 	n.stop = cancel
 	f.wg.Go(func() { n.members.Run(ctx) })
--- a/internal/control/profilesync/force.go
+++ b/internal/control/profilesync/force.go
@@ -67,7 +67,7 @@
 
 // Force reports which instances have the version of a profile in force that this
 // instance holds.
-func (m *Manager) Force(name string) lynxapi.ForceReply {
+func (m *Manager) Force(name string) lynxapi.InForceReply {
 	held, _ := m.o.Board.Profiles.Get(name)
 	reply, _ := m.force(name, held.Version, acceptanceEvidence{})
 	return reply
@@ -77,8 +77,8 @@
 // change is accepted when every instance that may accept work holds it, or when
 // a majority holds it and the others have had the time after which they are
 // fenced without it.
-func (m *Manager) force(name string, version uint64, known acceptanceEvidence) (reply lynxapi.ForceReply, accepted bool) {
-	reply = lynxapi.ForceReply{Name: name, Version: version, Total: 1}
+func (m *Manager) force(name string, version uint64, known acceptanceEvidence) (reply lynxapi.InForceReply, accepted bool) {
+	reply = lynxapi.InForceReply{Name: name, Version: version, Total: 1}
 	if m.objects.markOf(profile.KeyPrefix) >= version {
 		reply.InForce = 1
 	} else {
@@ -96,7 +96,7 @@
 		if id == m.o.Self || m.fence.leftDeliberately(member) {
 			continue
 		}
-		if max(member.Profiles, known.markOf(member)) >= version {
+		if max(member.ConfigVersion, known.markOf(member)) >= version {
 			if member.State != board.MemberDead {
 				reply.Total++
 				reply.InForce++
@@ -127,7 +127,7 @@
 func missingLackMajority(missing []string, members map[string]board.Member, forgotten int) bool {
 	for _, id := range missing {
 		m := members[id]
-		if m.State == board.MemberDead && m.Fleet > 0 && 2*(len(missing)+forgotten) > m.Fleet {
+		if m.State == board.MemberDead && m.KnownInstances > 0 && 2*(len(missing)+forgotten) > m.KnownInstances {
 			return false
 		}
 	}
--- a/internal/control/profilesync/objects.go
+++ b/internal/control/profilesync/objects.go
@@ -71,7 +71,7 @@
 		if found && next.Version == old.Version {
 			return old, false
 		}
-		rises := s.o.Check.Check(next.Version > old.Version, invariant.VersionsRise,
+		rises := s.o.Check.Check(next.Version > old.Version, invariant.VersionsIncrease,
 			"instance %s profile %s from version %d to %d", s.o.Self, name, old.Version, next.Version)
 		return next, rises
 	})
@@ -125,10 +125,10 @@
 		return
 	}
 	s.o.Board.Self.Update(board.SelfRow, func(self board.Self, _ bool) (board.Self, bool) {
-		if mark <= self.Mark {
+		if mark <= self.ConfigVersion {
 			return self, false
 		}
-		self.Mark = mark
+		self.ConfigVersion = mark
 		return self, true
 	})
 }
@@ -159,8 +159,8 @@
 // if it is larger.
 const maxPullBytes = 256 << 10
 
-// Since answers a peer's pull: the objects of the prefix above the version after.
-func (m *Manager) Since(prefix string, after uint64) (changed []store.Object, mark uint64, more bool) {
+// ObjectsSince answers a peer's pull: the objects of the prefix above the version after.
+func (m *Manager) ObjectsSince(prefix string, after uint64) (changed []store.Object, mark uint64, more bool) {
 	// The mark is read before the objects: an object that comes into force in
 	// between is sent without being covered by the mark.
 	mark = m.objects.markOf(prefix)
--- a/internal/control/profilesync/options.go
+++ b/internal/control/profilesync/options.go
@@ -47,8 +47,8 @@
 	Clock  clock.Clock
 	Boot   clock.Boot
 	Rand   *rand.Rand
-	// WatchersPerPlace is how many instances of a zone watch each prefix.
-	WatchersPerPlace int
+	// WatchersPerZone is how many instances of a zone watch each prefix.
+	WatchersPerZone int
 	// Service is this system's name in the platform's instance list.
 	Service string
 
@@ -85,7 +85,7 @@
 )
 
 func (o Options) withDefaults() Options {
-	defaults.Set(&o.WatchersPerPlace, defaultWatchersPerZone)
+	defaults.Set(&o.WatchersPerZone, defaultWatchersPerZone)
 	defaults.Set(&o.Service, defaultService)
 	defaults.Set(&o.FenceAfter, defaultFenceAfter)
 	defaults.Set(&o.FenceMargin, defaultFenceMargin)
--- a/internal/control/profilesync/pause_test.go
+++ b/internal/control/profilesync/pause_test.go
@@ -29,7 +29,7 @@
 			Board: n.board, Clock: f.clock, Rand: rand.New(rand.NewPCG(1, 1)), MayDispatch: n.sync.MayDispatch,
 			Limits: admission.GateLimits{StartLimit: 1, MaxLimit: 1},
 		})
-		want := admission.Want{Query: routing.Query{Organisation: "a", Stage: profile.Stage{
+		want := admission.SlotRequest{Query: routing.Query{Organisation: "a", Stage: profile.Stage{
 			Name: "draft", Kind: profile.KindGenerate, Idempotent: true,
 			Providers: []profile.Provider{{Name: "p", Service: "pool", Weight: 1}},
 		}}}
@@ -50,7 +50,7 @@
 		reply := f.set(0, "check", 2, first.Version, "c2", time.Minute)
 		time.Sleep(time.Hour)
 		f.net.Resume(n.addr)
-		if _, err := admitter.Admit(context.Background(), admission.Entry{Organisation: "a"}); !errkind.Is(err, errkind.Isolated) {
+		if _, err := admitter.Admit(context.Background(), admission.AdmitRequest{Organisation: "a"}); !errkind.Is(err, errkind.Isolated) {
 			t.Errorf("admitted on resuming: %v", err)
 		}
 		running.Done(admission.Result{OK: true, Duration: time.Second})
@@ -58,7 +58,7 @@
 			t.Errorf("dispatched on resuming: %v", err)
 		}
 		f.until(5*time.Second, "admits and dispatches again", func() bool {
-			leave, err := admitter.Admit(context.Background(), admission.Entry{Organisation: "a"})
+			leave, err := admitter.Admit(context.Background(), admission.AdmitRequest{Organisation: "a"})
 			if err != nil {
 				return false
 			}
--- a/internal/control/profilesync/watch.go
+++ b/internal/control/profilesync/watch.go
@@ -63,7 +63,7 @@
 	if prefix == profile.KeyPrefix {
 		refresh = m.refresh
 	}
-	timer := m.o.Clock.NewTimer(m.rand.Spread(idleInterval, 0.2))
+	timer := m.o.Clock.NewTimer(m.rand.Jitter(idleInterval, 0.2))
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
@@ -87,8 +87,8 @@
 	if !ok {
 		return true // membership has not run yet: the instance may be alone
 	}
-	live := m.o.Board.LiveMembersIn(self.Place, m.o.Self)
-	return slices.Contains(rendezvous.Top(self.Place+"/"+prefix, live, m.o.WatchersPerPlace), m.o.Self)
+	live := m.o.Board.LiveMembersIn(self.Zone, m.o.Self)
+	return slices.Contains(rendezvous.Top(self.Zone+"/"+prefix, live, m.o.WatchersPerZone), m.o.Self)
 }
 
 // watchOnce makes one call to the store. If it fails, it sleeps for the backoff.
@@ -97,7 +97,7 @@
 	err := m.read(ctx, w)
 	if err != nil {
 		w.backoff = min(max(2*w.backoff, backoffMin), backoffMax)
-		loop.Sleep(ctx, m.o.Clock, m.rand.Spread(w.backoff, 0.5))
+		loop.Sleep(ctx, m.o.Clock, m.rand.Jitter(w.backoff, 0.5))
 		return
 	}
 	w.backoff = 0
--- a/internal/control/reach/caller.go
+++ b/internal/control/reach/caller.go
@@ -13,9 +13,9 @@
 	observe func(target string, err error)
 }
 
-// Observing wraps caller so that the result of each Run and Load call is reported
+// ReportResults wraps caller so that the result of each Run and Load call is reported
 // to the controller. The first frame of a run counts as an answer on arrival.
-func Observing(caller stagecall.Caller, c *Controller) stagecall.Caller {
+func ReportResults(caller stagecall.Caller, c *Controller) stagecall.Caller {
 	return &reportingCaller{Caller: caller, observe: c.Observe}
 }
 
--- a/internal/control/reach/reach.go
+++ b/internal/control/reach/reach.go
@@ -93,10 +93,10 @@
 	}
 }
 
-// Lost returns a channel that is closed when the instance is found to be cut off.
+// CutOff returns a channel that is closed when the instance is found to be cut off.
 // Callers must call Lost anew for each request, since the channel is replaced when a
 // target answers again.
-func (c *Controller) Lost() <-chan struct{} {
+func (c *Controller) CutOff() <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.lost
--- a/internal/control/reach/reach_test.go
+++ b/internal/control/reach/reach_test.go
@@ -45,7 +45,7 @@
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
 		go c.Run(ctx)
-		lost := c.Lost()
+		lost := c.CutOff()
 		for i, err := range []error{errConnect, errSilent, errConnect} {
 			c.Observe(fmt.Sprintf("t%d", i), err)
 		}
@@ -64,7 +64,7 @@
 			t.Fatal("still cut off after a target answered")
 		}
 		select {
-		case <-c.Lost():
+		case <-c.CutOff():
 			t.Fatal("new requests are notified of the previous loss")
 		default:
 		}
--- a/internal/control/routesync/confirm.go
+++ b/internal/control/routesync/confirm.go
@@ -101,13 +101,13 @@
 	notBefore time.Duration // boot time before which no read is started
 }
 
-// AssureRoutes returns RoutesConfirmed, after a short read of the store if the
+// RefreshRoutes returns RoutesConfirmed, after a short read of the store if the
 // confirmation is older than Times.Change. Concurrent callers share one read. No read
 // is started before everything is known, while the store is lost, or shortly after a
 // failed read.
-func (m *Manager) AssureRoutes(ctx context.Context) (age time.Duration, source string) {
+func (m *Manager) RefreshRoutes(ctx context.Context) (age time.Duration, source string) {
 	age, source = m.RoutesConfirmed()
-	if age <= m.o.Times().Change || !m.Known() || m.StoreLost() {
+	if age <= m.o.Times().Change || !m.Synced() || m.StoreLost() {
 		return age, source
 	}
 	r := &m.refresh
--- a/internal/control/routesync/confirm_test.go
+++ b/internal/control/routesync/confirm_test.go
@@ -45,18 +45,18 @@
 		var othersAsk atomic.Bool // other instances call the store in place of this one
 		w.adjust = func(o *Options) {
 			o.Times = timesOfThree
-			o.Asks = func(time.Duration) bool { return !othersAsk.Load() }
+			o.CallsStore = func(time.Duration) bool { return !othersAsk.Load() }
 		}
 		n := w.start("a", true)
 		time.Sleep(20 * time.Second)
 		othersAsk.Store(true)
-		n.Recheck()
+		n.Relist()
 		time.Sleep(10 * time.Second)
 		w.put(TableKey, "2")
 		var asking sync.WaitGroup
 		for range 5 {
 			asking.Go(func() {
-				if age, source := n.AssureRoutes(w.t.Context()); age > time.Second || source != fromStore || n.Table().Version != 2 {
+				if age, source := n.RefreshRoutes(w.t.Context()); age > time.Second || source != fromStore || n.Table().Version != 2 {
 					t.Errorf("confirmed %v ago by %q, table version %d", age, source, n.Table().Version)
 				}
 			})
@@ -70,7 +70,7 @@
 		asked := time.Now()
 		for time.Since(asked) < 3*time.Second {
 			started := time.Now()
-			if age, _ := n.AssureRoutes(w.t.Context()); age < 4*time.Second || time.Since(started) > refreshTimeout {
+			if age, _ := n.RefreshRoutes(w.t.Context()); age < 4*time.Second || time.Since(started) > refreshTimeout {
 				t.Errorf("confirmed %v ago, after a wait of %v", age, time.Since(started))
 			}
 			time.Sleep(50 * time.Millisecond)
@@ -96,7 +96,7 @@
 			n.link.get = func(ctx context.Context) error { return waitUnanswered(ctx, time.Hour) }
 			n.link.dropChanges = true // for watches that start from now on
 		})
-		n.Recheck()
+		n.Relist()
 		time.Sleep(time.Second)
 		n.link.set(func() { n.link.dropChanges = false })
 		w.put(TableKey, "2")
--- a/internal/control/routesync/era.go
+++ b/internal/control/routesync/era.go
@@ -109,7 +109,7 @@
 		ended = true
 	}
 	if ended {
-		m.log(event.PlacesEvacuated, "places", m.evacuations.zoneList(), "revision", m.evacuations.mergedVersion, "source", "grace")
+		m.log(event.ZonesEvacuated, "places", m.evacuations.zoneList(), "revision", m.evacuations.mergedVersion, "source", "grace")
 		m.publishTargets("grace")
 	}
 	return wait
--- a/internal/control/routesync/era_test.go
+++ b/internal/control/routesync/era_test.go
@@ -34,14 +34,14 @@
 func TestTheTableInForceOutlastsTheStoresReturn(t *testing.T) {
 	inWorld(t, func(w *world) {
 		n := w.start("x", true)
-		copied := w.store.Copy()
+		copied := w.store.Snapshot()
 		for range 50 {
 			w.put("others/x", time.Now().String())
 			w.put(TableKey, "2")
 			w.put(TableKey, "3")
 		}
 		w.wantState(n, "before", "3: a b")
-		w.storeOutage(func() { w.store.Return(copied) })
+		w.storeOutage(func() { w.store.Restore(copied) })
 		w.wantState(n, "store restored", "3: a b")
 		w.wantEvents(n, event.StoreEraRose, 1)
 		fresh := w.start("fresh", true)
@@ -64,7 +64,7 @@
 		w.put("targets/b", "1:2#5")
 		w.put("targets/d", "1:4")
 		n := w.start("x", true)
-		copied := w.store.Copy()
+		copied := w.store.Snapshot()
 		for range 50 {
 			w.put("others/x", time.Now().String())
 		}
@@ -73,7 +73,7 @@
 		w.remove("targets/b")        // it is deleted, and its entry is in the backup
 		w.put("targets/c", "1:3#1")  // it is not in the backup
 		w.wantState(n, "before", "1: -a c -d")
-		w.storeOutage(func() { w.store.Return(copied) })
+		w.storeOutage(func() { w.store.Restore(copied) })
 		w.wantState(n, "store restored", "1: -a c -d")
 		w.put("targets/c", "1:3#2")
 		w.put("targets/a", "-1:1#7")
@@ -97,13 +97,13 @@
 	inWorld(t, func(w *world) {
 		n, other := w.start("x", true), w.start("y", false)
 		w.sendDigest("x", "y")
-		copied := w.store.Copy()
+		copied := w.store.Snapshot()
 		w.put("targets/c", "1:3#1")
 		w.sendDigest("x", "y")
 		w.wantState(other, "by a peer's digest", "1: a b c")
 		n.link.cut()
 		time.Sleep(300 * time.Millisecond)
-		w.store.Return(copied)
+		w.store.Restore(copied)
 		n.link.restore()
 		time.Sleep(time.Second)
 		w.wantState(n, "store restored", "1: a b c")
@@ -124,7 +124,7 @@
 			w.put("evacuations/west", "{}")
 			w.put("targets/b", "1:2@north")
 			n, other := w.start("x", true), w.start("y", false)
-			copied := w.store.Copy()
+			copied := w.store.Snapshot()
 			for range 50 {
 				w.put("others/x", time.Now().String())
 			}
@@ -133,7 +133,7 @@
 			w.wantState(other, "by a peer's digest", "1: a -b")
 			n.link.cut()
 			time.Sleep(300 * time.Millisecond)
-			w.store.Return(copied)
+			w.store.Restore(copied)
 			n.link.restore()
 			time.Sleep(time.Second)
 			w.sendDigest("x", "y")
@@ -172,7 +172,7 @@
 	inWorld(t, func(w *world) {
 		w.start("x", true)
 		y := w.start("y", false)
-		copied := w.store.Copy()
+		copied := w.store.Snapshot()
 		for range 50 {
 			w.put("targets/a", time.Now().String())
 			w.put(TableKey, "2")
@@ -180,7 +180,7 @@
 		w.sendDigest("x", "y")
 		w.instances["x"].link.cut()
 		time.Sleep(300 * time.Millisecond)
-		w.store.Return(copied)
+		w.store.Restore(copied)
 		w.instances["x"].link.restore()
 		w.put(TableKey, "3")
 		w.put("targets/c", "1:3")
@@ -199,10 +199,10 @@
 func TestMissingEntryIsKeptForTheGraceThoughNoCallFailed(t *testing.T) {
 	inWorld(t, func(w *world) {
 		n := w.start("x", true)
-		copied := w.store.Copy()
+		copied := w.store.Snapshot()
 		w.put("targets/c", "1:3#1")
 		w.wantState(n, "before", "1: a b c")
-		w.store.Return(copied)
+		w.store.Restore(copied)
 		time.Sleep(time.Second)
 		w.wantState(n, "store restored", "1: a b c")
 		w.put("targets/c", "1:3#2")
--- a/internal/control/routesync/evacuations.go
+++ b/internal/control/routesync/evacuations.go
@@ -120,7 +120,7 @@
 	e.known = e.known || a.complete || a.peer != "" && a.version > 0
 	m.wakeDeletions()
 	if after := e.zones(); !slices.Equal(before, after) {
-		m.log(event.PlacesEvacuated, "places", strings.Join(after, ","), "before", strings.Join(before, ","),
+		m.log(event.ZonesEvacuated, "places", strings.Join(after, ","), "before", strings.Join(before, ","),
 			"revision", e.mergedVersion, "source", a.source())
 		m.publishTargets(a.source())
 	}
@@ -156,8 +156,8 @@
 // and gets much of the work back at once. Without the rule, targets crash right after
 // the end of their zone's evacuation.
 func (m *Manager) effective(t fleet.Target) fleet.Target {
-	t.Draining = t.Draining || m.evacuations.evacuated(t.Place) || m.o.Leaves != nil && m.o.Leaves(t.ID)
-	ended, evacuatedBefore := m.evacuations.endedAt[t.Place]
+	t.Draining = t.Draining || m.evacuations.evacuated(t.Zone) || m.o.AnnouncedShutdown != nil && m.o.AnnouncedShutdown(t.ID)
+	ended, evacuatedBefore := m.evacuations.endedAt[t.Zone]
 	if !evacuatedBefore || !m.routes.known() {
 		return t
 	}
--- a/internal/control/routesync/evacuations_test.go
+++ b/internal/control/routesync/evacuations_test.go
@@ -38,7 +38,7 @@
 		w.wantState(n, "target registered during the evacuation", "1: a -b -c")
 		w.remove("evacuations/north")
 		w.wantState(n, "order deleted", "1: a b c")
-		w.wantEvents(n, event.PlacesEvacuated, 2)
+		w.wantEvents(n, event.ZonesEvacuated, 2)
 	})
 }
 
@@ -53,13 +53,13 @@
 		n := w.start("x", true)
 		w.wantState(n, "with the store", "1: a -b")
 		other := w.start("y", false)
-		if other.Known() {
+		if other.Synced() {
 			t.Error("known is true on an instance without any source")
 		}
 		w.sendDigest("x", "y")
 		w.wantState(other, "from a peer", "1: a -b")
-		if !other.Known() || other.evacuated() != "[north south]" {
-			t.Errorf("known %v, evacuated %s", other.Known(), other.evacuated())
+		if !other.Synced() || other.evacuated() != "[north south]" {
+			t.Errorf("known %v, evacuated %s", other.Synced(), other.evacuated())
 		}
 	})
 }
--- a/internal/control/routesync/health.go
+++ b/internal/control/routesync/health.go
@@ -101,7 +101,7 @@
 		m.reportLoss(prefix, err, now)
 	})
 	if lost || !known {
-		m.o.Hurry()
+		m.o.RequestExchanges()
 	}
 }
 
--- a/internal/control/routesync/options.go
+++ b/internal/control/routesync/options.go
@@ -90,11 +90,11 @@
 	// change is delivered after they return.
 	OnTable   func(*route.Table)
 	OnTargets func(old, new *fleet.View)
-	// Asks reports whether this instance calls the store itself, given the age of
+	// CallsStore reports whether this instance calls the store itself, given the age of
 	// the newest answer of the store known to it, its own or a peer's. Instances
 	// that do not call the store receive changes from those that do. nil = it
 	// always does.
-	Asks func(age time.Duration) bool
+	CallsStore func(age time.Duration) bool
 	// ProbeKey is the key of the object that is read to check whether the store
 	// answers, which a pending watch does not show. The reads may return stale data.
 	// "" = the store is not probed.
@@ -106,12 +106,12 @@
 	// Evacuations reports whether the platform has orders to evacuate availability
 	// zones. If not, they are not watched, which saves calls to the store.
 	Evacuations bool
-	// Hurry requests extra gossip exchanges at once. May be nil.
-	Hurry func()
-	// Leaves reports whether a target has announced its shutdown in its own
+	// RequestExchanges requests extra gossip exchanges at once. May be nil.
+	RequestExchanges func()
+	// AnnouncedShutdown reports whether a target has announced its shutdown in its own
 	// answers. Its entry says so too, but is not updated while the store is
 	// unavailable. nil = no target has.
-	Leaves func(target string) bool
+	AnnouncedShutdown func(target string) bool
 }
 
 // Defaults of Options.
@@ -129,14 +129,14 @@
 	if o.Times == nil {
 		o.Times = func() Times { return TimesOf(defaultChange, defaultChange) }
 	}
-	if o.Asks == nil {
-		o.Asks = func(time.Duration) bool { return true }
+	if o.CallsStore == nil {
+		o.CallsStore = func(time.Duration) bool { return true }
 	}
 	if o.Probes == nil {
 		o.Probes = func(time.Duration) bool { return true }
 	}
-	if o.Hurry == nil {
-		o.Hurry = func() {}
+	if o.RequestExchanges == nil {
+		o.RequestExchanges = func() {}
 	}
 	return o
 }
@@ -175,7 +175,7 @@
 	delivering  bool     // a goroutine is running deliver
 }
 
-var _ gossip.Part = (*Manager)(nil)
+var _ gossip.Participant = (*Manager)(nil)
 
 // New returns a manager without a table, targets or orders.
 func New(o Options) *Manager {
@@ -233,9 +233,9 @@
 // Targets returns the known targets, never nil. It never blocks.
 func (m *Manager) Targets() *fleet.View { return m.view.Load() }
 
-// Known reports whether the table, the complete list of targets and all evacuation
+// Synced reports whether the table, the complete list of targets and all evacuation
 // orders are known, each from the store or from a peer that knew them completely.
-func (m *Manager) Known() bool {
+func (m *Manager) Synced() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.knownLocked()
@@ -246,14 +246,14 @@
 	return m.routes.known() && m.targets.known && (m.evacuations.known || !m.o.Evacuations)
 }
 
-// Recheck cancels calls in progress, lists all prefixes again at once, and requests
+// Relist cancels calls in progress, lists all prefixes again at once, and requests
 // extra gossip exchanges. It is called after the process was suspended, since watches
 // from before may wait on a dead connection.
-func (m *Manager) Recheck() {
+func (m *Manager) Relist() {
 	for _, f := range m.watchLoops {
 		f.recheck()
 	}
-	m.o.Hurry()
+	m.o.RequestExchanges()
 }
 
 // change runs fn with mu held and then delivers what fn has queued.
--- a/internal/control/routesync/order_test.go
+++ b/internal/control/routesync/order_test.go
@@ -34,11 +34,11 @@
 	for _, up := range []bool{true, false} {
 		inWorld(t, func(w *world) {
 			n := w.start("x", true)
-			copied := w.store.Copy()
+			copied := w.store.Snapshot()
 			w.put(TableKey, "2")
 			w.put(TableKey, "3")
 			w.wantState(n, "before", "3: a b")
-			w.storeOutage(func() { w.store.Return(copied) })
+			w.storeOutage(func() { w.store.Restore(copied) })
 			fresh := w.start("fresh", up)
 			w.exchangeDigests(2 * time.Second)
 			w.wantState(fresh, fmt.Sprintf("store reached: %v", up), "3: a b")
@@ -114,7 +114,7 @@
 			for _, id := range names {
 				w.start(id, true)
 			}
-			newest, copied := 1, w.store.Copy()
+			newest, copied := 1, w.store.Snapshot()
 			var steps []string
 			for range 30 {
 				id := names[rng.IntN(len(names))]
@@ -128,9 +128,9 @@
 				case 3: // an older table, or the newest one again
 					w.put(TableKey, fmt.Sprint(max(newest-rng.IntN(3), 1)))
 				case 4:
-					copied = w.store.Copy()
+					copied = w.store.Snapshot()
 				case 5:
-					w.store.Return(copied)
+					w.store.Restore(copied)
 				case 6:
 					w.start(id, rng.IntN(2) == 0)
 				case 7:
@@ -179,10 +179,10 @@
 			w.put("targets/b", "1:2@north")
 			w.put("evacuations/west", "{}")
 			n := w.start("x", true)
-			copied := w.store.Copy()
+			copied := w.store.Snapshot()
 			w.put("evacuations/north", "{}")
 			w.wantState(n, "before", "1: a -b")
-			w.storeOutage(func() { w.store.Return(copied) })
+			w.storeOutage(func() { w.store.Restore(copied) })
 			fresh := w.start("fresh", true)
 			w.exchangeDigests(2 * time.Second)
 			w.wantState(fresh, "instance started after the restore", "1: a -b")
--- a/internal/control/routesync/probe.go
+++ b/internal/control/routesync/probe.go
@@ -17,8 +17,8 @@
 // got no answer at all, this instance lists again, since its watches may also wait on
 // connections that no longer carry data.
 func (m *Manager) runProbes(ctx context.Context) {
-	for m.sleepUnanswered(ctx, m.rand.Spread(m.o.Times().ProbeEvery, probeJitter)) {
-		if m.Known() && m.o.Probes(m.ConfirmedAge()) {
+	for m.sleepUnanswered(ctx, m.rand.Jitter(m.o.Times().ProbeEvery, probeJitter)) {
+		if m.Synced() && m.o.Probes(m.ConfirmedAge()) {
 			m.probe(ctx)
 		}
 	}
@@ -45,7 +45,7 @@
 	started := m.o.Boot.SinceBoot()
 	call, cancel := loop.WithTimeout(ctx, m.o.Clock, m.o.Times().ProbeTimeout)
 	defer cancel()
-	_, err := m.o.Store.Get(store.WithOld(call), m.o.ProbeKey)
+	_, err := m.o.Store.Get(store.AllowStale(call), m.o.ProbeKey)
 	if err == nil || errors.Is(err, store.ErrNotFound) {
 		m.probeFailedAt.Store(0)
 		return
@@ -61,10 +61,10 @@
 	}
 	m.o.Logger.Log(event.RouteStoreSilent, "err", err)
 	if call.Err() != nil {
-		m.Recheck()
+		m.Relist()
 		return
 	}
-	m.o.Hurry()
+	m.o.RequestExchanges()
 }
 
 // probeFailed reports whether the newest probe failed and the failure has not expired.
--- a/internal/control/routesync/rig_test.go
+++ b/internal/control/routesync/rig_test.go
@@ -50,7 +50,7 @@
 	address, zone, _ := strings.Cut(text, "@")
 	left, _ := time.ParseDuration(cold)
 	sequence, _ := strconv.ParseUint(number, 10, 64)
-	return fleet.Target{ID: id, Service: "s", Address: address, Place: zone, Draining: draining, ColdFor: left, Sequence: sequence}, nil
+	return fleet.Target{ID: id, Service: "s", Address: address, Zone: zone, Draining: draining, ColdFor: left, Sequence: sequence}, nil
 }
 
 // link is the connection of one instance to the store, with injected faults.
@@ -209,8 +209,8 @@
 		OnTargets: func(old, new *fleet.View) {
 			locked(func() { n.views = append(n.views, describe(old)+" > "+describe(new)) })
 		},
-		Hurry:       func() { locked(func() { n.exchanges++ }) },
-		Evacuations: w.orders,
+		RequestExchanges: func() { locked(func() { n.exchanges++ }) },
+		Evacuations:      w.orders,
 	}
 	if w.adjust != nil {
 		w.adjust(&options)
--- a/internal/control/routesync/routesync_test.go
+++ b/internal/control/routesync/routesync_test.go
@@ -26,8 +26,8 @@
 		w.put("targets/a", "-1:1")
 		w.wantState(n, "after changes", "2: -a b c")
 		wantViews := []string{" > a b", "a b > a b c", "a b c > -a b c"}
-		if !n.Known() || !slices.Equal(n.tables, []int64{1, 2}) || !slices.Equal(n.views, wantViews) {
-			t.Errorf("known %v, tables %v, views %q", n.Known(), n.tables, n.views)
+		if !n.Synced() || !slices.Equal(n.tables, []int64{1, 2}) || !slices.Equal(n.views, wantViews) {
+			t.Errorf("known %v, tables %v, views %q", n.Synced(), n.tables, n.views)
 		}
 		time.Sleep(time.Hour) // watches without changes log nothing
 		w.wantEvents(n, event.RoutesAdopted, 2)
@@ -62,12 +62,12 @@
 		w.put("targets/c", "1:3")
 		w.wantState(n, "before", "2: -a c")
 		n.link.set(func() { n.link.list = func() ([]store.Object, uint64, error) { return stale, at, nil } })
-		n.Recheck()
+		n.Relist()
 		w.wantState(n, "after the stale list", "2: -a c")
 		w.wantEvents(n, event.RoutesNotNewer, 1)
 		time.Sleep(2 * tombstoneTTL)
 		w.put("targets/d", "1:4") // the tombstone of b expires with this merge
-		n.Recheck()
+		n.Relist()
 		w.wantState(n, "after the tombstone's expiry", "2: -a c d")
 		w.put(TableKey, "1") // an old file of an operator, under a new version of the store
 		w.wantState(n, "after an old table", "2: -a c d")
@@ -197,8 +197,8 @@
 				synctest.Wait()
 				w.sendDigest("peer", "x")
 				w.wantState(n, "after one exchange", row.want)
-				if !n.Known() || n.exchanges == 0 {
-					t.Errorf("known %v, exchanges requested %d times", n.Known(), n.exchanges)
+				if !n.Synced() || n.exchanges == 0 {
+					t.Errorf("known %v, exchanges requested %d times", n.Synced(), n.exchanges)
 				}
 				if age := n.ConfirmedAge(); (age == math.MaxInt64) == row.before {
 					t.Errorf("confirmed %v ago", age)
@@ -246,7 +246,7 @@
 		w.put("targets/a", "bad")
 		w.wantState(n, "unreadable", "1: a b")
 		w.sendDigest("y", "x")
-		n.Recheck()
+		n.Relist()
 		synctest.Wait()
 		w.wantEvents(n, event.RoutesUnreadable, 1)
 		w.wantEvents(n, event.TargetUnreadable, 1)
@@ -270,7 +270,7 @@
 		w.put(TableKey, "2")
 		w.remove("targets/a")
 		w.wantState(n, "deaf", "1: a b")
-		n.Recheck()
+		n.Relist()
 		w.wantState(n, "rechecked", "2: b")
 		w.wantEvents(n, event.RouteStoreLost, 0)
 		if age := n.ConfirmedAge(); age != 0 || n.exchanges != 1 {
@@ -335,12 +335,12 @@
 			t.Errorf("%d objects up to %d, more %v", len(page), version, more)
 		}
 		n.adopt(TargetsPrefix, answer{objects: page, peer: "y"}) // a pull that failed after its first page
-		if n.Known() || n.resumeVersion(TargetsPrefix) != 0 {
+		if n.Synced() || n.resumeVersion(TargetsPrefix) != 0 {
 			t.Error("one page was regarded as the complete list")
 		}
 		w.sendDigest("y", "x")
-		if got := len(n.Targets().All()); got != 602 || !n.Known() {
-			t.Errorf("%d targets, known %v", got, n.Known())
+		if got := len(n.Targets().All()); got != 602 || !n.Synced() {
+			t.Errorf("%d targets, known %v", got, n.Synced())
 		}
 	})
 }
--- a/internal/control/routesync/targets.go
+++ b/internal/control/routesync/targets.go
@@ -292,8 +292,8 @@
 	}
 }
 
-// Reconsider updates the view of targets after a result of Options.Leaves has changed.
-func (m *Manager) Reconsider() { m.change(func() { m.publishTargets("target") }) }
+// UpdateTargets updates the view of targets after a result of Options.Leaves has changed.
+func (m *Manager) UpdateTargets() { m.change(func() { m.publishTargets("target") }) }
 
 // wakeDeletions wakes runPendingDeletions.
 func (m *Manager) wakeDeletions() {
--- a/internal/control/routesync/times.go
+++ b/internal/control/routesync/times.go
@@ -66,9 +66,9 @@
 // a change should have been answered, within its limit, at a lower age.
 func (t Times) Overdue() time.Duration { return t.WatchWait + t.WatchLimit }
 
-// Patience returns the age from which more instances call the store. By then the
+// EscalateAfter returns the age from which more instances call the store. By then the
 // instances that watch have had the time to find their watch silent and to list again.
-func (t Times) Patience() time.Duration { return t.Overdue() + callTimeout }
+func (t Times) EscalateAfter() time.Duration { return t.Overdue() + callTimeout }
 
 // Check returns an error if a change may take longer than Change to be in force when
 // open connections go silent while the store and the peers answer on new ones.
--- a/internal/control/routesync/watch_loop.go
+++ b/internal/control/routesync/watch_loop.go
@@ -93,7 +93,7 @@
 // Without this, the watches of all instances count toward the store's rate limits,
 // which grow more slowly than the fleet, and the store throttles all instances.
 func (m *Manager) restsOnPeers(f *watchLoop) bool {
-	if f.relistPending() || !m.Known() || m.o.Asks(m.ConfirmedAge()) {
+	if f.relistPending() || !m.Synced() || m.o.CallsStore(m.ConfirmedAge()) {
 		return false
 	}
 	f.after, f.listed = m.resumeVersion(f.prefix), true
--- a/internal/control/steering/choose.go
+++ b/internal/control/steering/choose.go
@@ -87,13 +87,13 @@
 		answer = append(answer, addressOf(a))
 	}
 	sort.SliceStable(answer, func(i, j int) bool {
-		return tierOf(answer[i].Place, answer[i].Region, d.zone, d.region) < tierOf(answer[j].Place, answer[j].Region, d.zone, d.region)
+		return tierOf(answer[i].Zone, answer[i].Region, d.zone, d.region) < tierOf(answer[j].Zone, answer[j].Region, d.zone, d.region)
 	})
 	return answer
 }
 
 func addressOf(a board.SteeringAddress) lynxapi.Address {
-	return lynxapi.Address{ID: a.ID, Address: a.Address, Place: a.Place, Region: a.Region, Weight: a.Weight}
+	return lynxapi.Address{ID: a.ID, Address: a.Address, Zone: a.Zone, Region: a.Region, Weight: a.Weight}
 }
 
 // split separates the addresses with a share of the callers (primaries) from
@@ -152,7 +152,7 @@
 func inTier(all []board.SteeringAddress, zone, region string, tier int) []int {
 	var members []int
 	for i, a := range all {
-		if tierOf(a.Place, a.Region, zone, region) == tier {
+		if tierOf(a.Zone, a.Region, zone, region) == tier {
 			members = append(members, i)
 		}
 	}
@@ -161,7 +161,7 @@
 
 func hasFartherTier(all []board.SteeringAddress, zone, region string, tier int) bool {
 	for _, a := range all {
-		if tierOf(a.Place, a.Region, zone, region) > tier {
+		if tierOf(a.Zone, a.Region, zone, region) > tier {
 			return true
 		}
 	}
@@ -174,7 +174,7 @@
 func localShare(all []board.SteeringAddress, members []int) float64 {
 	sum := 0.0
 	for _, i := range members {
-		sum += all[i].Room
+		sum += all[i].FreeShare
 	}
 	return min(1, sum/float64(len(members))/spillThreshold)
 }
--- a/internal/control/steering/options.go
+++ b/internal/control/steering/options.go
@@ -32,8 +32,8 @@
 	Metrics *metrics.Registry
 	// Self is the ID of this instance.
 	Self string
-	// Keep is the TTL of an answer, before jitter.
-	Keep time.Duration
+	// TTL is the TTL of an answer, before jitter.
+	TTL time.Duration
 	// Jitter is the fraction by which the TTL varies from answer to answer, so
 	// that callers that asked at the same time do not refresh at the same time.
 	Jitter float64
@@ -46,7 +46,7 @@
 }
 
 func (o Options) withDefaults() Options {
-	defaults.Positive(&o.Keep, DefaultTTL)
+	defaults.Positive(&o.TTL, DefaultTTL)
 	defaults.Positive(&o.Jitter, DefaultJitter)
 	defaults.Positive(&o.Ramp, DefaultRamp)
 	defaults.Positive(&o.Addresses, DefaultAddresses)
--- a/internal/control/steering/steering.go
+++ b/internal/control/steering/steering.go
@@ -34,7 +34,7 @@
 // Run keeps board.Steering up to date until ctx ends.
 func (c *Controller) Run(ctx context.Context) {
 	loop.Run(ctx, loop.Options{
-		Clock: c.opts.Clock, Rand: c.rand, Period: c.opts.Period, Settle: c.opts.Period / 2,
+		Clock: c.opts.Clock, Rand: c.rand, Period: c.opts.Period, MinInterval: c.opts.Period / 2,
 	}, func(context.Context) { c.Step() })
 }
 
@@ -49,8 +49,8 @@
 			continue
 		}
 		addresses = append(addresses, board.SteeringAddress{
-			ID: id, Address: m.CallerAddr, Place: m.Place, Region: m.Region, Room: m.Room,
-			Weight: weight(m.Room, c.age(m, now), c.opts.Ramp),
+			ID: id, Address: m.CallerAddr, Zone: m.Zone, Region: m.Region, FreeShare: m.FreeShare,
+			Weight: weight(m.FreeShare, c.age(m, now), c.opts.Ramp),
 		})
 	}
 	c.pruneJoined(members)
@@ -58,7 +58,7 @@
 		addresses = c.fallbackAddresses(members)
 	}
 	sort.Slice(addresses, func(i, j int) bool { return addresses[i].ID < addresses[j].ID })
-	b.Steering.Put(board.SteeringRow, board.Steering{Addresses: addresses, Keep: c.opts.Keep, Computed: now})
+	b.Steering.Put(board.SteeringRow, board.Steering{Addresses: addresses, Keep: c.opts.TTL, Computed: now})
 }
 
 // acceptsCallers reports whether new callers may be sent to the member.
@@ -67,7 +67,7 @@
 		return false
 	}
 	b := c.opts.Board
-	if b.Drained(board.DrainInstance+m.ID) || b.Drained(board.DrainPlace+m.Place) {
+	if b.Drained(board.DrainInstance+m.ID) || b.Drained(board.DrainZone+m.Zone) {
 		return false
 	}
 	if m.ID != c.opts.Self {
@@ -84,7 +84,7 @@
 	var addresses []board.SteeringAddress
 	for id, m := range members {
 		if m.CallerAddr != "" && m.State != board.MemberDead {
-			addresses = append(addresses, board.SteeringAddress{ID: id, Address: m.CallerAddr, Place: m.Place, Region: m.Region, Room: m.Room, Weight: 1})
+			addresses = append(addresses, board.SteeringAddress{ID: id, Address: m.CallerAddr, Zone: m.Zone, Region: m.Region, FreeShare: m.FreeShare, Weight: 1})
 		}
 	}
 	if len(addresses) > 0 {
@@ -134,7 +134,7 @@
 	}
 	return lynxapi.AddressAnswer{
 		Addresses: c.distribution(s, zone, region).answer(c.opts.Addresses, c.rand.Float64),
-		KeepMS:    c.rand.Spread(s.Keep, c.opts.Jitter).Milliseconds(),
+		KeepMS:    c.rand.Jitter(s.Keep, c.opts.Jitter).Milliseconds(),
 	}
 }
 
@@ -165,7 +165,7 @@
 func knownLocality(all []board.SteeringAddress, zone, region string) (string, string) {
 	inZone, inRegion := "", ""
 	for _, a := range all {
-		if a.Place == zone {
+		if a.Zone == zone {
 			inZone = zone
 		}
 		if a.Region == region {
@@ -175,9 +175,9 @@
 	return inZone, inRegion
 }
 
-// LongestKeep returns the longest TTL of an answer. An instance that is leaving
+// MaxTTL returns the longest TTL of an answer. An instance that is leaving
 // must keep serving at least this long after its address was last included in an
 // answer.
-func (c *Controller) LongestKeep() time.Duration {
-	return time.Duration(float64(c.opts.Keep) * (1 + c.opts.Jitter))
+func (c *Controller) MaxTTL() time.Duration {
+	return time.Duration(float64(c.opts.TTL) * (1 + c.opts.Jitter))
 }
--- a/internal/control/steering/steering_test.go
+++ b/internal/control/steering/steering_test.go
@@ -17,7 +17,7 @@
 }
 
 func put(b *board.Board, id, zone string, room float64) {
-	b.Members.Put(id, board.Member{ID: id, State: board.MemberAlive, CallerAddr: id + ":1", Place: zone, Region: "tunis", Room: room})
+	b.Members.Put(id, board.Member{ID: id, State: board.MemberAlive, CallerAddr: id + ":1", Zone: zone, Region: "tunis", FreeShare: room})
 }
 
 func TestAnswerExcludesLeavingDrainedAndStopping(t *testing.T) {
@@ -94,7 +94,7 @@
 	for range 100 {
 		answer := c.Answer("lac-a", "tunis")
 		last := answer.Addresses[len(answer.Addresses)-1]
-		if last.Place == "lac-a" || last.Weight != 0 {
+		if last.Zone == "lac-a" || last.Weight != 0 {
 			t.Fatalf("no spare outside the zone: %+v", answer.Addresses)
 		}
 	}
@@ -106,7 +106,7 @@
 		put(b, id, "lac-a", 0.05)
 		put(b, id+"-near", "lac-b", 0.5)
 	}
-	b.Members.Put("far", board.Member{ID: "far", State: board.MemberAlive, CallerAddr: "far:1", Place: "msasani", Region: "dar", Room: 1})
+	b.Members.Put("far", board.Member{ID: "far", State: board.MemberAlive, CallerAddr: "far:1", Zone: "msasani", Region: "dar", FreeShare: 1})
 	c := controller(b)
 	shares := make(map[string]float64)
 	const answers = 5000
@@ -146,8 +146,8 @@
 		keep := c.Answer("lac-a", "tunis").KeepMS
 		shortest, longest = min(shortest, keep), max(longest, keep)
 	}
-	if longest > c.LongestKeep().Milliseconds() {
-		t.Errorf("an answer has a TTL of %d ms, more than the longest TTL %v", longest, c.LongestKeep())
+	if longest > c.MaxTTL().Milliseconds() {
+		t.Errorf("an answer has a TTL of %d ms, more than the longest TTL %v", longest, c.MaxTTL())
 	}
 	if float64(longest) < 1.7*float64(shortest) {
 		t.Errorf("TTLs range from %d to %d ms only: callers that asked at the same time refresh at the same time", shortest, longest)
--- a/internal/control/steering/trial_test.go
+++ b/internal/control/steering/trial_test.go
@@ -92,7 +92,7 @@
 		}
 		room := in.rooms[max(0, len(in.rooms)-1-roomLag)]
 		x.board.Members.Put(in.id, board.Member{
-			ID: in.id, State: state, CallerAddr: in.id + ":1", Place: in.zone, Region: "dar", Room: room, Changed: changed,
+			ID: in.id, State: state, CallerAddr: in.id + ":1", Zone: in.zone, Region: "dar", FreeShare: room, Changed: changed,
 		})
 	}
 }
@@ -185,7 +185,7 @@
 		var up []lynxapi.Address
 		for _, in := range x.instances {
 			if in.up && in.accepting {
-				up = append(up, lynxapi.Address{ID: in.id, Place: in.zone, Weight: 1})
+				up = append(up, lynxapi.Address{ID: in.id, Zone: in.zone, Weight: 1})
 			}
 		}
 		rng.Shuffle(len(up), func(i, j int) { up[i], up[j] = up[j], up[i] })
--- a/internal/control/watchers/watchers.go
+++ b/internal/control/watchers/watchers.go
@@ -20,13 +20,13 @@
 	"lynxhill.example/lynxhill/internal/control/rendezvous"
 )
 
-// Watchers is the number of instances that watch the store while it answers.
+// MaxWatchers is the number of instances that watch the store while it answers.
 //
 // The bound protects the store from a fleet of any size. The cost is latency: an
 // instance that does not watch learns of a change later than a watcher, by the
 // pause between two answers to the watchers and the propagation time of digests
 // through the fleet.
-const Watchers = 8
+const MaxWatchers = 8
 
 // StepEvery is the time without an answer of the store after which the number of
 // instances that may call it doubles. From 8 to 295 takes six steps, 18 s; a store
@@ -42,7 +42,7 @@
 // maxStoreLosses is the number of instances that have lost the store up to which
 // twice as many of the others call it. If more have lost it, the store itself is
 // assumed to be unavailable, and the losses do not raise the number of callers.
-const maxStoreLosses = 8 * Watchers
+const maxStoreLosses = 8 * MaxWatchers
 
 // cutOffAfter is the time without a message from any other instance after which
 // this instance no longer relies on the others for changes.
@@ -54,10 +54,10 @@
 	Members []string // live members, with or without Self
 	// StoreLost reports whether a member, or Self, has lost the store. nil = none has.
 	StoreLost func(instance string) bool
-	// Running is the time since the instance started.
-	Running time.Duration
-	// Others reports whether the settings name other instances.
-	Others bool
+	// Uptime is the time since the instance started.
+	Uptime time.Duration
+	// HasPeers reports whether the settings name other instances.
+	HasPeers bool
 	// Silence is the time since the last message from any other instance; 0 = there
 	// was none yet.
 	Silence time.Duration
@@ -68,21 +68,21 @@
 	Behind bool
 	// Overdue is the age from which an answer of the store is overdue.
 	Overdue time.Duration
-	// Patience is the age from which more instances call the store, since its
+	// EscalateAfter is the age from which more instances call the store, since its
 	// watchers get no answer either.
-	Patience time.Duration
+	EscalateAfter time.Duration
 }
 
-// Asks reports whether the instance calls the store itself. age is the age of the
+// CallsStore reports whether the instance calls the store itself. age is the age of the
 // newest answer of the store known to the instance, its own or a peer's.
-func (f Facts) Asks(age time.Duration) bool {
+func (f Facts) CallsStore(age time.Duration) bool {
 	if age > f.Overdue && (f.Silence >= cutOffAfter || f.Behind) {
 		return true
 	}
-	if f.Others && f.Running < settleTime {
+	if f.HasPeers && f.Uptime < settleTime {
 		return false
 	}
-	limit := maxCallers(age - f.Patience)
+	limit := maxCallers(age - f.EscalateAfter)
 	if f.effectiveRank(Rank(f.Self, f.Members)) < limit {
 		return true
 	}
@@ -112,7 +112,7 @@
 func maxCallers(overdue time.Duration) int {
 	const most = 20 // doublings; more instances than any fleet has
 	if overdue < 0 {
-		return Watchers
+		return MaxWatchers
 	}
-	return Watchers << min(int(overdue/StepEvery), most)
+	return MaxWatchers << min(int(overdue/StepEvery), most)
 }
