--- a/internal/control/watchers/watchers_test.go
+++ b/internal/control/watchers/watchers_test.go
@@ -19,9 +19,9 @@
 func countCallers(n int, age time.Duration, change func(*Facts)) int {
 	count := 0
 	for _, id := range members(n) {
-		f := Facts{Self: id, Members: members(n), Running: time.Minute, Others: true, Silence: 100 * time.Millisecond, Overdue: 6 * time.Second, Patience: 6 * time.Second}
+		f := Facts{Self: id, Members: members(n), Uptime: time.Minute, HasPeers: true, Silence: 100 * time.Millisecond, Overdue: 6 * time.Second, EscalateAfter: 6 * time.Second}
 		change(&f)
-		if f.Asks(age) {
+		if f.CallsStore(age) {
 			count++
 		}
 	}
@@ -89,11 +89,11 @@
 // started together, each of which ends with every target that registers: an instance
 // that knows no other member yet ranks first.
 func TestNewInstanceDoesNotWatchBeforeItCanKnowMembers(t *testing.T) {
-	alone := func(f *Facts) { f.Members, f.Running = nil, time.Second }
+	alone := func(f *Facts) { f.Members, f.Uptime = nil, time.Second }
 	if got := countCallers(295, time.Second, alone); got != 0 {
 		t.Errorf("%d of 295 instances watch in their first second", got)
 	}
-	only := func(f *Facts) { f.Members, f.Running, f.Others = nil, 0, false }
+	only := func(f *Facts) { f.Members, f.Uptime, f.HasPeers = nil, 0, false }
 	if got := countCallers(1, time.Second, only); got != 1 {
 		t.Error("an instance without others must watch at once")
 	}
--- a/internal/crashguard/avoid.go
+++ b/internal/crashguard/avoid.go
@@ -10,7 +10,7 @@
 // the function to call when the attempt ends. Only attempts of suspected
 // requests are recorded.
 func (g *Guard) Begin(fingerprint, targetID string) (end func()) {
-	if g == nil || !g.Suspect(fingerprint) {
+	if g == nil || !g.Suspected(fingerprint) {
 		return func() {}
 	}
 	g.mu.Lock()
@@ -35,18 +35,20 @@
 	}
 }
 
-// Occupied returns the sorted ids of the targets that run another suspected
+// TargetsWithSuspects returns the sorted ids of the targets that run another suspected
 // request; nil if the request is not suspected. When a target crashes, every
 // request on it becomes suspected. If a harmless one and the one that caused the
 // crash ran together on the next target and it crashed too, both would be
 // refused. Running them on different targets clears the harmless one.
-func (g *Guard) Occupied(fingerprint string) []string { return g.targetsWithSuspects(fingerprint, 1) }
+func (g *Guard) TargetsWithSuspects(fingerprint string) []string {
+	return g.targetsWithSuspects(fingerprint, 1)
+}
 
 // crashedTTL is how long Apart avoids a crashed target. It is longer than a
 // crashed target stays in the target list; a restarted target has another id.
 const crashedTTL = 10 * time.Second
 
-// Apart returns the ids of the targets that an attempt of the request must
+// TargetsToAvoid returns the ids of the targets that an attempt of the request must
 // avoid; nil if the request is not suspected. listed are the targets to choose
 // from; the result may contain others. At least one listed target that has not
 // crashed stays available: if each of them runs another suspected request, only
@@ -58,8 +60,8 @@
 // shares a third one with it, so that harmless requests are refused. The request
 // that crashes targets is always among those with the highest crash counts, and
 // these are few.
-func (g *Guard) Apart(fingerprint string, listed []string) []string {
-	if g == nil || !g.Suspect(fingerprint) {
+func (g *Guard) TargetsToAvoid(fingerprint string, listed []string) []string {
+	if g == nil || !g.Suspected(fingerprint) {
 		return nil
 	}
 	crashed := g.listedCrashed(listed)
@@ -103,7 +105,7 @@
 // targetsWithSuspects returns the sorted ids of the targets that run another
 // request under which at least minCrashes targets crashed.
 func (g *Guard) targetsWithSuspects(fingerprint string, minCrashes int) []string {
-	if g == nil || !g.Suspect(fingerprint) {
+	if g == nil || !g.Suspected(fingerprint) {
 		return nil
 	}
 	g.mu.Lock()
--- a/internal/crashguard/crashguard.go
+++ b/internal/crashguard/crashguard.go
@@ -41,8 +41,8 @@
 	// Limit is the number of distinct crashed targets at which the request is
 	// refused.
 	Limit int
-	// Keep is how long a crash counts and a refusal stays in force.
-	Keep time.Duration
+	// TTL is how long a crash counts and a refusal stays in force.
+	TTL time.Duration
 	// Alive checks whether the process that served a broken attempt is still
 	// running. If it is nil, Broke and Died detect no crashes.
 	Alive   func(ctx context.Context, target stagecall.Target) bool
@@ -62,7 +62,7 @@
 	recentlyCrashed map[string]time.Time      // id of a crashed target -> until when it is avoided
 }
 
-var _ gossip.Part = (*Guard)(nil)
+var _ gossip.Participant = (*Guard)(nil)
 
 // New returns a guard. It replaces zero fields by defaults, except Alive, Logger
 // and Metrics.
@@ -76,8 +76,8 @@
 	if opts.Limit <= 0 {
 		opts.Limit = DefaultLimit
 	}
-	if opts.Keep <= 0 {
-		opts.Keep = DefaultTTL
+	if opts.TTL <= 0 {
+		opts.TTL = DefaultTTL
 	}
 	return &Guard{opts: opts, running: make(map[string]map[string]int), recentlyCrashed: make(map[string]time.Time)}
 }
@@ -99,9 +99,9 @@
 	return g.crashes(fingerprint) >= g.limit()
 }
 
-// Suspect reports whether any target crashed under the fingerprint. A suspected
+// Suspected reports whether any target crashed under the fingerprint. A suspected
 // request is not hedged: a hedge could crash two targets at once.
-func (g *Guard) Suspect(fingerprint string) bool {
+func (g *Guard) Suspected(fingerprint string) bool {
 	return g.crashes(fingerprint) > 0
 }
 
@@ -123,40 +123,40 @@
 	return len(row.Targets)
 }
 
-// Broke handles an attempt that broke off: it checks whether the target crashed
+// AttemptBroke handles an attempt that broke off: it checks whether the target crashed
 // and if so counts the crash. A broken connection alone is not counted.
-func (g *Guard) Broke(ctx context.Context, fingerprint string, target stagecall.Target) (crashed bool) {
-	if !g.Died(ctx, target) {
+func (g *Guard) AttemptBroke(ctx context.Context, fingerprint string, target stagecall.Target) (crashed bool) {
+	if !g.HasCrashed(ctx, target) {
 		return false
 	}
-	g.TargetDied(fingerprint, target.ID)
+	g.RecordCrash(fingerprint, target.ID)
 	return true
 }
 
-// Died checks whether the target has crashed. It returns false if the check does
+// HasCrashed checks whether the target has crashed. It returns false if the check does
 // not complete before the context ends.
-func (g *Guard) Died(ctx context.Context, target stagecall.Target) bool {
+func (g *Guard) HasCrashed(ctx context.Context, target stagecall.Target) bool {
 	if g == nil || g.opts.Alive == nil {
 		return false
 	}
 	return !g.opts.Alive(ctx, target) && ctx.Err() == nil
 }
 
-// TargetDied counts a target that crashed while it ran the request.
-func (g *Guard) TargetDied(fingerprint, targetID string) {
+// RecordCrash counts a target that crashed while it ran the request.
+func (g *Guard) RecordCrash(fingerprint, targetID string) {
 	if g == nil {
 		return
 	}
 	g.opts.Metrics.Counter(metricCrashes).Add(1)
 	g.recordCrashed([]string{targetID})
-	g.merge(fingerprint, []string{targetID}, g.opts.Keep)
+	g.merge(fingerprint, []string{targetID}, g.opts.TTL)
 }
 
-// Survived records that a request was answered completely. If the request is
+// RecordSuccess records that a request was answered completely. If the request is
 // suspected but not yet refused, its row is deleted: its attempt ran on the same
 // target as another request that caused the crash.
-func (g *Guard) Survived(fingerprint string) {
-	if g == nil || !g.Suspect(fingerprint) || g.Refused(fingerprint) {
+func (g *Guard) RecordSuccess(fingerprint string) {
+	if g == nil || !g.Suspected(fingerprint) || g.Refused(fingerprint) {
 		return
 	}
 	g.opts.Board.Refused.Delete(fingerprint)
--- a/internal/crashguard/crashguard_test.go
+++ b/internal/crashguard/crashguard_test.go
@@ -37,8 +37,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		a, b, c := newGuard(false), newGuard(false), newGuard(false)
 		fp := Fingerprint("draft", []byte(`{"poison":1}`))
-		a.Broke(t.Context(), fp, stagecall.Target{ID: "t1"})
-		b.Broke(t.Context(), fp, stagecall.Target{ID: "t2"})
+		a.AttemptBroke(t.Context(), fp, stagecall.Target{ID: "t1"})
+		b.AttemptBroke(t.Context(), fp, stagecall.Target{ID: "t2"})
 		if a.Refused(fp) || b.Refused(fp) {
 			t.Fatal("refused after one crash")
 		}
@@ -60,15 +60,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		alive := newGuard(true)
 		for i := range 5 {
-			alive.Broke(t.Context(), "fp", stagecall.Target{ID: fmt.Sprint(i)})
+			alive.AttemptBroke(t.Context(), "fp", stagecall.Target{ID: fmt.Sprint(i)})
 		}
-		if alive.Suspect("fp") {
+		if alive.Suspected("fp") {
 			t.Error("broken connections counted as crashes")
 		}
 		g := newGuard(false)
-		g.TargetDied("fp", "t1")
-		g.TargetDied("fp", "t1")
-		if g.Refused("fp") || !g.Suspect("fp") {
+		g.RecordCrash("fp", "t1")
+		g.RecordCrash("fp", "t1")
+		if g.Refused("fp") || !g.Suspected("fp") {
 			t.Error("a target that crashed twice was counted twice, or not at all")
 		}
 	})
@@ -80,8 +80,8 @@
 func TestRefusalExpiresDespiteGossip(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a, b := newGuard(false), newGuard(false)
-		a.TargetDied("fp", "t1")
-		a.TargetDied("fp", "t2")
+		a.RecordCrash("fp", "t1")
+		a.RecordCrash("fp", "t2")
 		for end := time.Now().Add(2 * DefaultTTL); time.Now().Before(end); time.Sleep(time.Second) {
 			exchange(a, b)
 			exchange(b, a)
@@ -99,21 +99,21 @@
 func TestSuspectsAreKeptApart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGuard(false)
-		g.TargetDied("guilty", "t1")
-		g.TargetDied("innocent", "t1")
+		g.RecordCrash("guilty", "t1")
+		g.RecordCrash("innocent", "t1")
 		end := g.Begin("guilty", "t2")
-		if got := g.Occupied("innocent"); len(got) != 1 || got[0] != "t2" {
+		if got := g.TargetsWithSuspects("innocent"); len(got) != 1 || got[0] != "t2" {
 			t.Errorf("occupied for the other suspect: %v, want t2", got)
 		}
-		if got := g.Occupied("guilty"); len(got) != 0 {
+		if got := g.TargetsWithSuspects("guilty"); len(got) != 0 {
 			t.Errorf("occupied for the running request itself: %v, want none", got)
 		}
 		end()
-		if got := g.Occupied("innocent"); len(got) != 0 {
+		if got := g.TargetsWithSuspects("innocent"); len(got) != 0 {
 			t.Errorf("still occupied after the attempt ended: %v", got)
 		}
-		g.Survived("innocent")
-		if g.Suspect("innocent") {
+		g.RecordSuccess("innocent")
+		if g.Suspected("innocent") {
 			t.Error("still suspected after it was answered")
 		}
 	})
@@ -127,7 +127,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		g, listed := New(Options{Limit: 3, Clock: quartz.NewReal()}), []string{"t1", "t2", "t3", "t4"}
 		for _, fp := range []string{"guilty", "a", "b", "c"} {
-			g.TargetDied(fp, "t1")
+			g.RecordCrash(fp, "t1")
 		}
 		steps := []struct {
 			begin, at string
@@ -137,12 +137,12 @@
 		}
 		for _, s := range steps {
 			g.Begin(s.begin, s.at)
-			if got := g.Apart("a", listed); !slices.Equal(got, s.want) {
+			if got := g.TargetsToAvoid("a", listed); !slices.Equal(got, s.want) {
 				t.Errorf("after %s started on %s: avoided targets %v", s.begin, s.at, got)
 			}
 		}
-		g.TargetDied("guilty", "t5")
-		if got := g.Apart("a", listed); !slices.Equal(got, []string{"t4", "t1"}) || g.Apart("fresh", listed) != nil {
+		g.RecordCrash("guilty", "t5")
+		if got := g.TargetsToAvoid("a", listed); !slices.Equal(got, []string{"t4", "t1"}) || g.TargetsToAvoid("fresh", listed) != nil {
 			t.Errorf("after the second crash: avoided targets %v", got)
 		}
 	})
@@ -152,7 +152,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		a, b := newGuard(false), newGuard(false)
 		for i := range 50 {
-			a.TargetDied(fmt.Sprintf("fp-%02d", i), "t")
+			a.RecordCrash(fmt.Sprintf("fp-%02d", i), "t")
 		}
 		for range 60 {
 			var digest gossip.Digest
--- a/internal/crashguard/gossip.go
+++ b/internal/crashguard/gossip.go
@@ -49,7 +49,7 @@
 		if refusal.TTL <= 0 || len(refusal.Targets) == 0 {
 			continue
 		}
-		g.merge(refusal.Fingerprint, refusal.Targets, min(refusal.TTL, g.opts.Keep))
+		g.merge(refusal.Fingerprint, refusal.Targets, min(refusal.TTL, g.opts.TTL))
 	}
 }
 
--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -23,7 +23,7 @@
 	d.assembleTargetControl()
 	d.assembleOperatorControl()
 	// The loads are last: they fill the space that the others leave in a digest.
-	for _, part := range []gossip.Part{d.profiles, d.discovery, d.limits, d.guard, d.slo.Gossip(), d.loads} {
+	for _, part := range []gossip.Participant{d.profiles, d.discovery, d.limits, d.guard, d.slo.Gossip(), d.loads} {
 		d.members.AddPart(part)
 	}
 }
@@ -44,15 +44,15 @@
 }
 
 func (d *Daemon) assembleTargetControl() {
-	clk, zone, region := d.opts.Clock, d.cfg.Instance.Place, d.cfg.Instance.Region
+	clk, zone, region := d.opts.Clock, d.cfg.Instance.Zone, d.cfg.Instance.Region
 	d.discovery = discovery.New(discovery.Options{
 		Lister: d.platform, Board: d.board, Clock: clk, Rand: d.rand(), Logger: d.logger, Metrics: d.metrics,
-		Self: d.id(), Place: zone, Hurry: d.members.Hurry, Peers: d.peers,
+		Self: d.id(), Zone: zone, RequestExchanges: d.members.RequestExchanges, Peers: d.peers,
 	})
 	d.loads = loadview.New(loadview.Options{
-		Caller: reach.Observing(d.targets, d.reach),
+		Caller: reach.ReportResults(d.targets, d.reach),
 		Board:  d.board, Clock: clk, Rand: d.rand(), Logger: d.logger, Metrics: d.metrics,
-		Self: d.id(), Place: zone, Region: region,
+		Self: d.id(), Zone: zone, Region: region,
 	})
 	d.leases = lease.NewManager(lease.Options{
 		Store: d.platform, Board: d.board, Clock: clk, Boot: d.opts.Boot, Rand: d.rand(),
@@ -68,11 +68,11 @@
 	clk := d.opts.Clock
 	d.steering = steering.New(steering.Options{
 		Board: d.board, Clock: clk, Rand: d.rand(), Logger: d.logger, Metrics: d.metrics,
-		Self: d.id(), Keep: d.cfg.Timings.Keep.Duration,
+		Self: d.id(), TTL: d.cfg.Timings.AddressTTL.Duration,
 	})
 	d.drains = drain.New(drain.Options{
 		Store: d.platform, Board: d.board, Clock: clk, Rand: d.rand(), Logger: d.logger, Metrics: d.metrics,
-		Self: d.id(), Place: d.cfg.Instance.Place,
+		Self: d.id(), Zone: d.cfg.Instance.Zone,
 	})
 	d.limits = limits.New(limits.Options{
 		Board: d.board, Admitter: d.admitter, Self: d.id(), Clock: clk,
@@ -88,9 +88,9 @@
 		CallerAddr: advertised(d.cfg.Listen.AdvertiseCaller, d.CallerAddr()),
 		AdminAddr:  advertised(d.cfg.Listen.AdvertiseAdmin, d.AdminAddr()),
 		PeerAddr:   advertised(d.cfg.Listen.AdvertisePeer, d.PeerAddr()),
-		Place:      d.cfg.Instance.Place,
+		Zone:       d.cfg.Instance.Zone,
 		Region:     d.cfg.Instance.Region,
-		Room:       1,
+		FreeShare:  1,
 	}
 }
 
@@ -115,7 +115,7 @@
 	ticker := d.opts.Clock.NewTicker(loadEvery)
 	defer ticker.Stop()
 	for {
-		d.members.SetLoad(d.admitter.Room(), d.admitter.InFlight())
+		d.members.SetLoad(d.admitter.FreeShare(), d.admitter.InFlight())
 		select {
 		case <-ctx.Done():
 			return
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -65,13 +65,13 @@
 func (d *deployment) start(t *testing.T, id string, zone int, output io.Writer) *running {
 	t.Helper()
 	cfg := config.Default()
-	cfg.Instance = config.Instance{ID: id, Place: d.fleet.Places[zone], Region: d.fleet.Region}
+	cfg.Instance = config.Instance{ID: id, Zone: d.fleet.Zones[zone], Region: d.fleet.Region}
 	cfg.Listen = config.Listen{Caller: "127.0.0.1:0", Admin: "127.0.0.1:0", Peer: "127.0.0.1:0"}
 	cfg.Platform.Endpoints = []string{"http://" + d.fleet.Platform.Addr()}
 	cfg.Tokens.Caller, cfg.Tokens.Operator = d.tokens.Caller, d.tokens.Operator
-	cfg.Timings.Keep = config.Of(50 * time.Millisecond)
-	cfg.Timings.PeerHeartbeat = config.Of(50 * time.Millisecond)
-	cfg.Timings.StopGrace = config.Of(d.grace)
+	cfg.Timings.AddressTTL = config.DurationOf(50 * time.Millisecond)
+	cfg.Timings.PeerHeartbeat = config.DurationOf(50 * time.Millisecond)
+	cfg.Timings.StopGrace = config.DurationOf(d.grace)
 	options := Options{Seed: 1 + uint64(zone)}
 	if output != nil {
 		options.Logger = event.NewLogger(log.NewLogfmtLogger(log.NewSyncWriter(output)))
@@ -125,7 +125,7 @@
 // that instance.
 func (d *deployment) callerOf(r *running) *client.Caller {
 	return client.NewCaller(client.CallerOptions{
-		Servers: []string{r.CallerAddr()}, Token: d.caller, Place: r.cfg.Instance.Place, Region: d.fleet.Region, MaxAttempts: 1,
+		Servers: []string{r.CallerAddr()}, Token: d.caller, Zone: r.cfg.Instance.Zone, Region: d.fleet.Region, MaxAttempts: 1,
 	})
 }
 
--- a/internal/daemon/handler.go
+++ b/internal/daemon/handler.go
@@ -26,11 +26,11 @@
 // Address implements callerapi.Handler. An instance that cannot confirm its
 // configuration returns an error: cut off together with a few others, it would
 // direct callers only to those.
-func (d *Daemon) Address(_ context.Context, q callerapi.AddressQuestion) (lynxapi.AddressAnswer, error) {
+func (d *Daemon) Address(_ context.Context, q callerapi.DiscoveryRequest) (lynxapi.AddressAnswer, error) {
 	if self, _ := d.board.Self.Get(board.SelfRow); !self.MayAdmit() {
 		return lynxapi.AddressAnswer{}, errkind.New(errkind.Isolated, "%s; ask another", isolation(self))
 	}
-	answer := d.steering.Answer(q.Place, q.Region)
+	answer := d.steering.Answer(q.Zone, q.Region)
 	ticket, expires := d.tickets.Issue()
 	answer.Ticket = ticket
 	answer.TicketHome = d.id()
@@ -136,15 +136,17 @@
 // older version lacks.
 func (d *Daemon) since(prefix string, after uint64) ([]store.Object, uint64, bool) {
 	if prefix == discovery.PullPrefix {
-		return d.discovery.Since(after)
+		return d.discovery.TargetsSince(after)
 	}
-	return d.profiles.Since(prefix, after)
+	return d.profiles.ObjectsSince(prefix, after)
 }
 
 // peerCalls returns the handlers of calls from other instances.
 func (d *Daemon) peerCalls() peer.ServerOptions {
 	return peer.ServerOptions{
-		Exchange: func(ctx context.Context, digest gossip.Digest) gossip.Digest { return d.members.Handle(ctx, digest) },
+		Exchange: func(ctx context.Context, digest gossip.Digest) gossip.Digest {
+			return d.members.HandleExchange(ctx, digest)
+		},
 		Probe:    d.members.HandleProbe,
 		Profiles: d.since,
 		Outcome: func(ctx context.Context, key outcome.Key) (outcome.Record, bool, error) {
--- a/internal/daemon/operations.go
+++ b/internal/daemon/operations.go
@@ -56,10 +56,10 @@
 	return o.d.profiles.Rollback(ctx, change, req.Steps)
 }
 
-// Force returns the instances on which a profile is in force.
-func (o *operations) Force(_ context.Context, name string) (lynxapi.ForceReply, error) {
+// InForce returns the instances on which a profile is in force.
+func (o *operations) InForce(_ context.Context, name string) (lynxapi.InForceReply, error) {
 	if _, ok := o.d.profiles.View(name); !ok {
-		return lynxapi.ForceReply{}, errkind.New(errkind.NotFound, "there is no profile %q", name)
+		return lynxapi.InForceReply{}, errkind.New(errkind.NotFound, "there is no profile %q", name)
 	}
 	return o.d.profiles.Force(name), nil
 }
@@ -82,9 +82,9 @@
 func (o *operations) instanceView(m board.Member) lynxapi.InstanceView {
 	return lynxapi.InstanceView{
 		ID: m.ID, Incarnation: m.Incarnation, State: string(m.State),
-		CallerAddr: m.CallerAddr, AdminAddr: m.AdminAddr, Place: m.Place, Region: m.Region,
-		Room: m.Room, InFlight: m.InFlight,
-		Draining: o.d.board.Drained(board.DrainInstance+m.ID) || o.d.board.Drained(board.DrainPlace+m.Place),
+		CallerAddr: m.CallerAddr, AdminAddr: m.AdminAddr, Zone: m.Zone, Region: m.Region,
+		Room: m.FreeShare, InFlight: m.InFlight,
+		Draining: o.d.board.Drained(board.DrainInstance+m.ID) || o.d.board.Drained(board.DrainZone+m.Zone),
 	}
 }
 
@@ -102,7 +102,7 @@
 
 func targetView(t board.Target, load board.Load, now time.Time) lynxapi.TargetView {
 	view := lynxapi.TargetView{
-		ID: t.ID, Service: t.Service, Kind: string(t.Kind), Provider: t.Provider, Place: t.Place,
+		ID: t.ID, Service: t.Service, Kind: string(t.Kind), Provider: t.Provider, Zone: t.Zone,
 		Address: t.Address, Leaving: t.Leaving,
 		Running: load.Report.Running, Queued: load.Report.Queued, Slots: load.Report.Slots,
 	}
@@ -123,7 +123,7 @@
 func (o *operations) Status(context.Context) (lynxapi.Status, error) {
 	self, _ := o.d.board.Self.Get(board.SelfRow)
 	status := lynxapi.Status{
-		Instance: o.d.id(), Place: o.d.cfg.Instance.Place, Ready: o.d.Ready() == nil,
+		Instance: o.d.id(), Zone: o.d.cfg.Instance.Zone, Ready: o.d.Ready() == nil,
 		Isolated: self.Isolated, Stopping: self.Stopping, StoreUp: o.d.platform.Up(),
 		InFlight: o.d.admitter.InFlight(), Violations: int(o.d.violations.count.Load()),
 		StoreCalls: o.d.platform.Calls(), UptimeS: o.d.opts.Clock.Now().Sub(o.d.started).Seconds(),
--- a/internal/daemon/operations_drain.go
+++ b/internal/daemon/operations_drain.go
@@ -43,7 +43,7 @@
 		_, known := b.Targets.Get(id)
 		return known
 	}
-	for _, prefix := range []string{board.DrainPlace, board.DrainTargetsIn} {
+	for _, prefix := range []string{board.DrainZone, board.DrainTargetsIn} {
 		if zone, ok := strings.CutPrefix(subject, prefix); ok {
 			return o.knowsZone(zone)
 		}
@@ -52,16 +52,16 @@
 }
 
 func (o *operations) knowsZone(zone string) bool {
-	if zone == o.d.cfg.Instance.Place {
+	if zone == o.d.cfg.Instance.Zone {
 		return true
 	}
 	for _, m := range o.d.board.Members.Snapshot() {
-		if m.Place == zone {
+		if m.Zone == zone {
 			return true
 		}
 	}
 	for _, t := range o.d.board.Targets.Snapshot() {
-		if t.Place == zone {
+		if t.Zone == zone {
 			return true
 		}
 	}
--- a/internal/daemon/operations_test.go
+++ b/internal/daemon/operations_test.go
@@ -12,9 +12,9 @@
 // Guards against a zone that continues to receive work because its name was mistyped
 // in a drain and the drain of the unknown zone was accepted.
 func TestUnknownSubjectIsNotDrained(t *testing.T) {
-	d := &Daemon{board: board.New(), cfg: config.Config{Instance: config.Instance{ID: "a", Place: "lac-a"}}}
-	d.board.Members.Put("b", board.Member{ID: "b", Place: "lac-b"})
-	d.board.Targets.Put("t", board.Target{ID: "t", Place: "ariana"})
+	d := &Daemon{board: board.New(), cfg: config.Config{Instance: config.Instance{ID: "a", Zone: "lac-a"}}}
+	d.board.Members.Put("b", board.Member{ID: "b", Zone: "lac-b"})
+	d.board.Targets.Put("t", board.Target{ID: "t", Zone: "ariana"})
 	o := &operations{d}
 	for _, known := range []string{"instance/a", "instance/b", "place/lac-a", "place/lac-b", "place/ariana", "target/t"} {
 		if !o.knows(known) {
--- a/internal/daemon/request.go
+++ b/internal/daemon/request.go
@@ -26,7 +26,7 @@
 	d.reach = reach.New(reach.Options{Board: d.board, Clock: clk, Logger: d.logger, Metrics: d.metrics})
 	d.gate = admission.NewGate(admission.GateOptions{
 		Board: d.board, Clock: clk, Rand: d.rand(),
-		Place: d.cfg.Instance.Place, Region: d.cfg.Instance.Region,
+		Zone: d.cfg.Instance.Zone, Region: d.cfg.Instance.Region,
 		Policy: d.opts.Policy, Limits: d.gateLimits(),
 		MayDispatch: func() bool { return d.profiles.MayDispatch() }, // d.profiles is created later
 		Check:       d.check, Logger: d.logger, Metrics: d.metrics,
@@ -40,42 +40,42 @@
 	})
 	d.outcomes = outcome.NewRegistry(outcome.Options{Clock: clk, Logger: d.logger, Metrics: d.metrics})
 	d.slo = slo.New(slo.Options{
-		Clock: clk, Objectives: d.objective, Instance: d.id(), Place: d.cfg.Instance.Place,
+		Clock: clk, Objectives: d.objective, Instance: d.id(), Zone: d.cfg.Instance.Zone,
 		Logger: d.logger, Metrics: d.metrics,
 	})
 	d.assembleClaims()
 	d.runner = pipeline.New(pipeline.Options{
-		Profiles: d.profile, Gate: d.gate, Caller: d.stageCaller(), Claims: d.claims, Remote: d.peers,
-		Crash: d.guard, Clock: clk, Rand: d.rand(),
-		Self: d.id(), Place: d.cfg.Instance.Place, Region: d.cfg.Instance.Region,
-		Check: d.check, MaxAnswerBytes: int(kilobytes(d.cfg.Limits.MaxAnswerKB)),
+		Profiles: d.profile, Gate: d.gate, Caller: d.stageCaller(), Claims: d.claims, RemoteOutcomes: d.peers,
+		CrashGuard: d.guard, Clock: clk, Rand: d.rand(),
+		InstanceID: d.id(), Zone: d.cfg.Instance.Zone, Region: d.cfg.Instance.Region,
+		Invariants: d.check, MaxAnswerBytes: int(kilobytes(d.cfg.Limits.MaxAnswerKB)),
 		MaxAttempts: d.cfg.Routing.MaxAttempts,
 		Report:      d.report, Logger: d.logger, Metrics: d.metrics,
 	})
 	d.serving = serving.New(serving.Options{
 		Self: d.id(), Profiles: d.profile, Admitter: d.admitter, Runner: d.runner, Outcomes: d.outcomes,
-		Tickets: d.tickets, Forward: d.peers, NotSent: peer.ErrNotSent,
-		MayAdmit: d.Ready, ClaimsUp: d.platform.Up, Lost: d.reach.Lost, Refused: d.reportRefused,
+		Tickets: d.tickets, Forwarder: d.peers, ErrNotSent: peer.ErrNotSent,
+		MayAdmit: d.Ready, ClaimStoreUp: d.platform.Up, TargetsLost: d.reach.CutOff, OnRefused: d.reportRefused,
 	})
 }
 
 // stageCaller returns a caller of targets that passes the load reports in their
 // responses to the load view, which is created later.
 func (d *Daemon) stageCaller() stagecall.Caller {
-	return loadview.Observing(reach.Observing(d.targets, d.reach), func(target string, report targetapi.LoadReport) { d.loads.Observe(target, report) })
+	return loadview.Observing(reach.ReportResults(d.targets, d.reach), func(target string, report targetapi.LoadReport) { d.loads.Observe(target, report) })
 }
 
 func (d *Daemon) gateLimits() admission.GateLimits {
 	return admission.GateLimits{
-		Queue:       d.cfg.Limits.MaxQueued,
-		RepeatShare: d.cfg.Routing.RetryBudget,
-		EjectShare:  d.cfg.Routing.MaxEjected,
+		Queue:      d.cfg.Limits.MaxQueued,
+		RetryShare: d.cfg.Routing.RetryBudget,
+		EjectShare: d.cfg.Routing.MaxEjected,
 	}
 }
 
 func (d *Daemon) assembleClaims() {
 	settings := d.cfg.Claims
-	d.pages = claim.NewPages(claim.PagesOptions{
+	d.pages = claim.NewStoreClaimer(claim.StoreOptions{
 		Store: d.platform, Clock: d.opts.Clock, Rand: d.rand(), Self: d.id(),
 		Owners: d.claimOwner, Shards: settings.Shards, WindowBytes: settings.WindowKB << 10,
 		FlushInterval: settings.Flush.Duration, Retention: settings.Retention.Duration,
--- a/internal/daemon/run.go
+++ b/internal/daemon/run.go
@@ -171,7 +171,7 @@
 // callers cache a response for up to the longest keep time after that.
 func (d *Daemon) waitForCachedAddresses(ctx context.Context) {
 	spread := 2 * d.cfg.Timings.PeerHeartbeat.Duration
-	loop.Sleep(ctx, d.opts.Clock, d.steering.LongestKeep()+spread)
+	loop.Sleep(ctx, d.opts.Clock, d.steering.MaxTTL()+spread)
 }
 
 func (d *Daemon) awaitLastRequest(ctx context.Context) {
@@ -228,7 +228,7 @@
 // otherMembers returns the other live instances, those in this instance's availability
 // zone first.
 func (d *Daemon) otherMembers() []string {
-	near := d.board.LiveMembersIn(d.cfg.Instance.Place, d.id())
+	near := d.board.LiveMembersIn(d.cfg.Instance.Zone, d.id())
 	var others []string
 	for _, id := range append(near, d.board.LiveMembers(d.id())...) {
 		if id != d.id() && !slices.Contains(others, id) {
@@ -243,8 +243,8 @@
 func (d *Daemon) Kill() {
 	d.killOnce.Do(func() {
 		close(d.killed)
-		d.servers.caller.Kill()
-		d.servers.admin.Kill()
+		d.servers.caller.Close()
+		d.servers.admin.Close()
 		_ = d.servers.peer.Close()
 	})
 }
--- a/internal/daemon/violations.go
+++ b/internal/daemon/violations.go
@@ -12,8 +12,8 @@
 	next  invariant.Recorder
 }
 
-// Violated implements invariant.Recorder.
-func (v *violationCounter) Violated(rule invariant.Rule, detail string) {
+// RecordViolation implements invariant.Recorder.
+func (v *violationCounter) RecordViolation(rule invariant.Rule, detail string) {
 	v.count.Add(1)
-	v.next.Violated(rule, detail)
+	v.next.RecordViolation(rule, detail)
 }
--- a/internal/edge/contact.go
+++ b/internal/edge/contact.go
@@ -23,19 +23,19 @@
 // the request that first notices the silence would be refused each time that all other
 // instances crash. The symptom is refusals "the other instances are not reached"
 // within a millisecond of the requests' arrival.
-func (i *Instance) contact() stagework.Contact {
+func (i *Instance) contact() stagework.Connectivity {
 	silence := i.members.Silence()
 	if silence < silenceThreshold || i.liveInstances() < 2 {
-		return stagework.ContactGood
+		return stagework.ConnectivityOK
 	}
 	i.queryStore(i.o.Boot.SinceBoot() - silence)
 	switch {
 	case i.routes.ConfirmedAge() < silence:
-		return stagework.ContactGood
+		return stagework.ConnectivityOK
 	case i.o.Boot.SinceBoot()-time.Duration(i.storeQueriedAt.Load()) < storeResponseTimeout:
-		return stagework.ContactOpen
+		return stagework.ConnectivityUnknown
 	default:
-		return stagework.ContactLost
+		return stagework.ConnectivityLost
 	}
 }
 
@@ -47,6 +47,6 @@
 	// slightly within one period of silence.
 	if lastHeard-time.Duration(before) > silenceThreshold/2 && i.heardBeforeQuery.CompareAndSwap(before, int64(lastHeard)) {
 		i.storeQueriedAt.Store(int64(i.o.Boot.SinceBoot()))
-		i.routes.Recheck()
+		i.routes.Relist()
 	}
 }
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -53,10 +53,10 @@
 	Platform Platform
 	Codec    relay.Codec
 	Decoder  relay.Decoder
-	// Stages returns a client that calls stage targets over the connections of the pool.
-	Stages func(*exchange.Pool) relay.StageClient
-	// AnswerID returns the id of the attempt that is named in a target's response.
-	AnswerID func(http.Header) string
+	// NewStageClient returns a client that calls stage targets over the connections of the pool.
+	NewStageClient func(*exchange.Pool) relay.StageClient
+	// ResponseAttemptID returns the id of the attempt that is named in a target's response.
+	ResponseAttemptID func(http.Header) string
 	// ReadyPath is the path of the platform's readiness check, AddressPath that of
 	// callers' address queries.
 	ReadyPath, AddressPath string
@@ -100,8 +100,8 @@
 	loads      *forwarding.Loads
 	cold       *allowance.Allowance // rate allowances of targets that have just started
 	limited    *allowance.Allowance // rate allowances of targets that state a limit
-	notices    *notice.Keeper
-	budget     *forwarding.Budget // limits retries of requests
+	notices    *notice.Tracker
+	budget     *forwarding.RetryBudget // limits retries of requests
 	ingress    *ingress.Ingress
 
 	cells            atomic.Pointer[[]stagework.Cell]
@@ -188,7 +188,7 @@
 		Dial: i.o.Dial, Self: i.id(), Address: i.peerAddress, Logger: i.o.Logger, Metrics: i.metrics,
 	})
 	i.guard = crashguard.New(crashguard.Options{
-		Board: i.board, Clock: i.o.Clock, Limit: crashLimit, Keep: crashRetention,
+		Board: i.board, Clock: i.o.Clock, Limit: crashLimit, TTL: crashRetention,
 		Alive: i.targetAlive, Logger: i.o.Logger, Metrics: i.metrics,
 	})
 	i.notices = notice.New(notice.Options{
@@ -202,25 +202,25 @@
 			i.updateDispatcher()
 			i.spreadChange()
 		},
-		OnTargets:   i.handleTargets,
-		Hurry:       func() { i.members.Hurry() },
-		Leaves:      i.notices.Leaves,
-		Times:       i.times,
-		WatchGap:    watchGap,
-		Asks:        i.callsStore,
-		ProbeKey:    instancesPrefix + i.id(),
-		Probes:      i.probesStore,
-		Evacuations: i.cfg.Ingress.Evacuations,
+		OnTargets:         i.handleTargets,
+		RequestExchanges:  func() { i.members.RequestExchanges() },
+		AnnouncedShutdown: i.notices.Leaves,
+		Times:             i.times,
+		WatchGap:          watchGap,
+		CallsStore:        i.callsStore,
+		ProbeKey:          instancesPrefix + i.id(),
+		Probes:            i.probesStore,
+		Evacuations:       i.cfg.Ingress.Evacuations,
 	})
 	i.members = membership.New(membership.Options{
 		Self: board.Member{
 			ID: i.id(), State: board.MemberAlive, CallerAddr: i.cfg.Ingress.Listen, AdminAddr: i.cfg.Ingress.Listen,
-			PeerAddr: cmp.Or(i.cfg.Listen.AdvertisePeer, i.cfg.Listen.Peer), Place: i.cfg.Instance.Place, Region: i.cfg.Instance.Region,
+			PeerAddr: cmp.Or(i.cfg.Listen.AdvertisePeer, i.cfg.Listen.Peer), Zone: i.cfg.Instance.Zone, Region: i.cfg.Instance.Region,
 			Capacity: i.cfg.Ingress.ProcessorShare * max(i.cfg.Ingress.ProcessorCores, 1),
 		},
 		Board: i.board, Clock: i.o.Clock, Boot: i.o.Boot, Rand: i.rand(), Transport: i.peers,
 		Lister: i.adapter.Platform, Seeds: i.seeds, StoreLost: i.routes.StoreLost,
-		Parts:          []gossip.Part{i.routes, i.guard, i.notices},
+		Parts:          []gossip.Participant{i.routes, i.guard, i.notices},
 		HeartbeatEvery: heartbeatEvery, SuspectAfter: suspectAfter,
 		ListEvery: listEvery, RegisterEvery: registerEvery,
 		Logger: i.o.Logger, Metrics: i.metrics,
@@ -229,34 +229,34 @@
 
 // assembleRequestPath creates the components that handle requests.
 func (i *Instance) assembleRequestPath() {
-	i.pool = exchange.New(exchange.Options{Dial: i.o.Dial, AnswerID: i.adapter.AnswerID, OnSend: i.trackRequest})
-	i.stages = &timedStages{StageClient: i.adapter.Stages(i.pool), clock: i.o.Clock}
+	i.pool = exchange.New(exchange.Options{Dial: i.o.Dial, AttemptID: i.adapter.ResponseAttemptID, OnSend: i.trackRequest})
+	i.stages = &timedStages{StageClient: i.adapter.NewStageClient(i.pool), clock: i.o.Clock}
 	i.cold = allowance.NewAllowance(allowance.Options{
 		Self: i.id(), Instances: i.everKnownInstances, Clock: i.o.Clock,
 		Bound: allowance.Cold(func() float64 { return i.settings().ColdOverage }),
 	})
 	i.limited = allowance.NewAllowance(allowance.Options{
-		Self: i.id(), Instances: i.everKnownInstances, Clock: i.o.Clock, Bound: allowance.Named(),
+		Self: i.id(), Instances: i.everKnownInstances, Clock: i.o.Clock, Bound: allowance.Stated(),
 	})
 	i.dispatcher = stagework.New(stagework.Options{
 		Self: i.id(), Client: i.stages, Clock: i.o.Clock, Logger: i.o.Logger,
-		Bounds: stagework.Bounds{Self: i.id(), Cold: i.cold, Limited: i.limited, Asks: i.notices},
-		Reuse:  i.cfg.Ingress.ReuseWindow.Duration,
-		First:  func(c stagework.Cell) (string, bool) { return i.finder.First(c) },
+		RateLimits: stagework.RateLimits{Self: i.id(), Cold: i.cold, Limited: i.limited, Notices: i.notices},
+		Reuse:      i.cfg.Ingress.ReuseWindow.Duration,
+		First:      func(c stagework.Cell) (string, bool) { return i.finder.First(c) },
 	})
 	i.finder = stagework.NewFinder(stagework.FinderOptions{
 		Self: i.id(), Local: i.dispatcher, Remote: i.peers,
 		Members:  i.dispatcherCandidates,
-		Capacity: i.capacity, Cells: i.currentCells, Contact: i.contact, Meeting: i.discoveringMembers,
+		Capacity: i.capacity, Cells: i.currentCells, Connectivity: i.contact, Joining: i.discoveringMembers,
 		Clock: i.o.Clock, Logger: i.o.Logger,
 	})
-	i.loads = forwarding.NewLoads(i.o.Clock, i.cfg.Instance.Place, i.rand())
+	i.loads = forwarding.NewLoads(i.o.Clock, i.cfg.Instance.Zone, i.rand())
 	i.ingress = ingress.New(ingress.Options{
 		Codec: i.adapter.Codec, Forwarder: i.newForwarder(), Table: i.routes.Table,
-		Known: i.grounds, Serving: i.serving, Addresses: i.addresses,
-		AddressTTL:    func() time.Duration { return i.settings().AddressTTL.Duration },
-		TakeAfterStop: acceptAfterStop,
-		Clock:         i.o.Clock, Logger: i.o.Logger, Metrics: i.metrics,
+		Confirm: i.grounds, Serving: i.serving, Addresses: i.addresses,
+		AddressTTL:      func() time.Duration { return i.settings().AddressTTL.Duration },
+		AcceptAfterStop: acceptAfterStop,
+		Clock:           i.o.Clock, Logger: i.o.Logger, Metrics: i.metrics,
 	})
 	i.applyLimits()
 	i.publish()
@@ -276,7 +276,7 @@
 	}{
 		{i.cfg.Ingress.Listen, i.ingress.Server(), i.ingress.CallerListener},
 		{i.cfg.Ingress.Readiness, i.ingress.ReadyServer(i.adapter.ReadyPath), i.ingress.ReadyListener},
-		{i.cfg.Ingress.Addresses, i.ingress.AddressServer(i.adapter.AddressPath), i.ingress.AddressListener},
+		{i.cfg.Ingress.AddressListen, i.ingress.AddressServer(i.adapter.AddressPath), i.ingress.AddressListener},
 		{i.cfg.Listen.Peer, peers, nil},
 		{i.cfg.Ingress.Control, peers, nil}, // the address that peers.seeds name
 		{i.cfg.Ingress.Metrics, i.metricsServer(), nil},
@@ -312,5 +312,5 @@
 
 // exchange handles a gossip exchange (heartbeat) of another instance.
 func (i *Instance) exchange(ctx context.Context, d gossip.Digest) gossip.Digest {
-	return i.members.Handle(ctx, d)
+	return i.members.HandleExchange(ctx, d)
 }
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -44,17 +44,17 @@
 
 func (fakePlatform) Target(id string, value []byte) (fleet.Target, error) {
 	address, zone, _ := strings.Cut(string(value), "@")
-	return fleet.Target{ID: id, Service: "s", Address: address, Place: zone, Slots: 9}, nil
+	return fleet.Target{ID: id, Service: "s", Address: address, Zone: zone, Slots: 9}, nil
 }
 
-func (fakePlatform) Request(r *http.Request) (*relay.Request, error) {
+func (fakePlatform) ParseRequest(r *http.Request) (*relay.Request, error) {
 	return &relay.Request{Key: r.Header.Get("Key"), Method: r.Method, Host: r.Host, URI: r.URL.Path, Path: r.URL.Path}, nil
 }
 
-func (fakePlatform) Outgoing(*relay.Request, relay.Call) http.Header { return http.Header{} }
-func (fakePlatform) Own(http.Header, *relay.Request, time.Duration)  {}
-func (fakePlatform) AnswerHeader(h http.Header) http.Header          { return h }
-func (fakePlatform) Notice(status int, h http.Header) (n fleet.Notice) {
+func (fakePlatform) OutgoingHeader(*relay.Request, relay.Call) http.Header   { return http.Header{} }
+func (fakePlatform) SetOwnHeader(http.Header, *relay.Request, time.Duration) {}
+func (fakePlatform) ResponseHeader(h http.Header) http.Header                { return h }
+func (fakePlatform) ParseNotice(status int, h http.Header) (n fleet.Notice) {
 	n.Leaving = h.Get("Leaving") != ""
 	if rate, err := strconv.ParseFloat(h.Get("Limit"), 64); err == nil {
 		n.Limit = &rate
@@ -64,8 +64,8 @@
 	}
 	return n
 }
-func (fakePlatform) Answer(r *http.Response) relay.Answer {
-	return relay.Answer{Signed: true, NotRun: r.StatusCode == 503}
+func (fakePlatform) ParseResponse(r *http.Response) relay.ResponseHead {
+	return relay.ResponseHead{Signed: true, NotRun: r.StatusCode == 503}
 }
 
 // testInstance is an instance in virtual time with a store and two targets.
@@ -112,7 +112,7 @@
 		p := fakePlatform{Store: w.store}
 		stages, noID := func(*exchange.Pool) relay.StageClient { return p }, func(http.Header) string { return "" }
 		var err error
-		w.Instance, err = New(cfg, Adapter{Platform: p, Codec: p, Decoder: p, Stages: stages, AnswerID: noID, ReadyPath: "/ready", AddressPath: "/where"}, Options{
+		w.Instance, err = New(cfg, Adapter{Platform: p, Codec: p, Decoder: p, NewStageClient: stages, ResponseAttemptID: noID, ReadyPath: "/ready", AddressPath: "/where"}, Options{
 			Seed: 1, Dial: targets.Dial, Listen: func(_, _ string) (net.Listener, error) { return memnet.Listen(), nil },
 			Boot: clock.BootFunc(func() time.Duration { return time.Since(began) + time.Duration(w.suspended.Load()) }),
 		})
@@ -255,8 +255,8 @@
 		}
 		spent := repeats()
 		next := cfg
-		next.Ingress.RetryExtra, next.Ingress.MemoryMB, next.Ingress.Touch = 0, 1, config.Of(time.Minute)
-		next.Ingress.ReuseWindow, next.Ingress.Apply = config.Of(time.Second), config.Of(time.Minute)
+		next.Ingress.RetryExtra, next.Ingress.MemoryMB, next.Ingress.OutOfTouchAfter = 0, 1, config.DurationOf(time.Minute)
+		next.Ingress.ReuseWindow, next.Ingress.ApplyWithin = config.DurationOf(time.Second), config.DurationOf(time.Minute)
 		next.Log.Level, next.Peers.Seeds = "debug", []string{"127.0.0.1:9"}
 		changed, restart := w.Reload(next)
 		got := strings.Join(changed, " ") + "; " + strings.Join(restart, " ")
--- a/internal/edge/era_test.go
+++ b/internal/edge/era_test.go
@@ -20,7 +20,7 @@
 	for _, n := range noticeFleetSizes() {
 		runFleet(t, n, func(f *testFleet) {
 			time.Sleep(8 * time.Second)
-			copied := f.store.Copy()
+			copied := f.store.Snapshot()
 			f.put("targets/b", "10.0.0.2:1")
 			for k := range 200 {
 				f.put(fmt.Sprint("others/", k), "x")
@@ -32,7 +32,7 @@
 				}
 			}
 			before := f.calls()["all"]
-			f.store.Return(copied)
+			f.store.Restore(copied)
 			f.put("targets/c", "10.0.0.3:1")
 			took := f.until(maxEraDelay, "all are in the new era and know the target added in it", func(m *member) bool {
 				return m.routes.Era() == 1 && m.routes.Targets().Usable("c")
@@ -59,10 +59,10 @@
 func TestEntriesOfInstancesOutlastTheStoresReturn(t *testing.T) {
 	runFleet(t, 8, func(f *testFleet) {
 		time.Sleep(8 * time.Second)
-		copied := f.store.Copy()
+		copied := f.store.Snapshot()
 		f.all = append(f.all, f.start(8))
 		time.Sleep(12 * time.Second)
-		f.store.Return(copied)
+		f.store.Restore(copied)
 		if f.listed("i-008") {
 			t.Fatal("the entry is not lost")
 		}
--- a/internal/edge/fleet_harness_test.go
+++ b/internal/edge/fleet_harness_test.go
@@ -450,11 +450,11 @@
 func (f *testFleet) start(i int) *member {
 	cfg := settings()
 	cfg.Instance.ID = fmt.Sprintf("i-%03d", i)
-	cfg.Instance.Place = fmt.Sprintf("place-%d", i%fleetZones)
+	cfg.Instance.Zone = fmt.Sprintf("place-%d", i%fleetZones)
 	cfg.Listen.Peer = peerAddressOf(i)
 	cfg.Ingress.Listen, cfg.Ingress.Metrics = "c"+cfg.Listen.Peer, ""
-	cfg.Ingress.Touch, cfg.Ingress.Apply = config.Of(f.bounds.touch), config.Of(f.bounds.apply)
-	cfg.Ingress.Grace = config.Of(8 * time.Second)
+	cfg.Ingress.OutOfTouchAfter, cfg.Ingress.ApplyWithin = config.DurationOf(f.bounds.touch), config.DurationOf(f.bounds.apply)
+	cfg.Ingress.Grace = config.DurationOf(8 * time.Second)
 	cfg.Peers.Seeds = []string{peerAddressOf(0), peerAddressOf(1), peerAddressOf(2)}
 	cfg.Ingress.Evacuations = f.evacuations
 	if f.extra > 0 {
@@ -467,7 +467,7 @@
 	p, began := instancePlatform{fakePlatform{Store: f.store}, way}, time.Now()
 	in, err := New(cfg, Adapter{
 		Platform: p, Codec: p, Decoder: p, ReadyPath: "/ready", AddressPath: "/where",
-		Stages: func(*exchange.Pool) relay.StageClient { return p }, AnswerID: func(http.Header) string { return "" },
+		NewStageClient: func(*exchange.Pool) relay.StageClient { return p }, ResponseAttemptID: func(http.Header) string { return "" },
 	}, Options{
 		Seed: uint64(i + 1), Dial: way.dial, Listen: way.listen,
 		Boot: clock.BootFunc(func() time.Duration { return time.Since(began) }),
--- a/internal/edge/fleet_test.go
+++ b/internal/edge/fleet_test.go
@@ -56,7 +56,7 @@
 			checkCalls(t, n, "calm", price(difference(calm, started)), 200)
 			checkCalls(t, n, "outage", price(difference(away, calm)), 600)
 			// 35 s, with at least 0.9 s between two probes of a watcher.
-			checkCalls(t, n, "probes, calm", probes(difference(calm, started)), 35*10*watchers.Watchers/9)
+			checkCalls(t, n, "probes, calm", probes(difference(calm, started)), 35*10*watchers.MaxWatchers/9)
 			checkCalls(t, n, "stale lists", f.calls()["list instances"], 6*int64(n))
 		})
 	}
@@ -402,7 +402,7 @@
 			runFleet(t, n, func(f *testFleet) {
 				time.Sleep(14 * time.Second)
 				ranked := f.byRank()
-				random, others := rand.New(rand.NewPCG(uint64(n), 7)), ranked[watchers.Watchers:]
+				random, others := rand.New(rand.NewPCG(uint64(n), 7)), ranked[watchers.MaxWatchers:]
 				random.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
 				lost, remaining := ranked[:int(share*float64(n))], ranked[int(share*float64(n)):]
 				for _, m := range lost {
--- a/internal/edge/members.go
+++ b/internal/edge/members.go
@@ -15,14 +15,14 @@
 		Self:            i.id(),
 		Members:         i.board.LiveMembers(i.id()),
 		StoreLost:       i.storeLost,
-		Running:         i.uptime(),
-		Others:          i.seededInstances() > 1,
+		Uptime:          i.uptime(),
+		HasPeers:        i.seededInstances() > 1,
 		Silence:         i.members.Silence(),
 		Behind:          i.routes.Behind(),
 		UnansweredShare: i.members.UnansweredShare(),
 		Overdue:         i.times().Overdue(),
-		Patience:        i.times().Patience(),
-	}.Asks(age)
+		EscalateAfter:   i.times().EscalateAfter(),
+	}.CallsStore(age)
 }
 
 // storeLost reports whether the given instance has lost the store, as far as this
@@ -47,14 +47,14 @@
 // probesStore reports whether this instance probes the store. It does so only while
 // it watches the store on behalf of other instances, which can replace it.
 func (i *Instance) probesStore(age time.Duration) bool {
-	return i.liveInstances() > watchers.Watchers && i.callsStore(age)
+	return i.liveInstances() > watchers.MaxWatchers && i.callsStore(age)
 }
 
 // spreadChange requests extra gossip exchanges at once if there are instances that do
 // not watch the store themselves.
 func (i *Instance) spreadChange() {
-	if i.liveInstances() > watchers.Watchers {
-		i.members.Hurry()
+	if i.liveInstances() > watchers.MaxWatchers {
+		i.members.RequestExchanges()
 	}
 }
 
@@ -66,7 +66,7 @@
 			i.pool.CloseIdle(t.Address)
 		}
 	}
-	i.notices.Forget(func(target string) bool {
+	i.notices.RemoveExpired(func(target string) bool {
 		_, listed := now.Get(target)
 		return listed
 	})
@@ -79,7 +79,7 @@
 // discover all others. Instances on the platform's list are included, because an
 // instance that starts during a partition cannot reach those on the other side.
 func (i *Instance) everKnownInstances() []string {
-	if i.seededInstances() > 1 && i.members.KnownFor() < memberDiscoveryTime {
+	if i.seededInstances() > 1 && i.members.MembersKnownFor() < memberDiscoveryTime {
 		return nil
 	}
 	ids := append(i.members.ListedIDs(), i.id())
--- a/internal/edge/metrics.go
+++ b/internal/edge/metrics.go
@@ -43,7 +43,7 @@
 		return map[string]uint64{"dialed": s.Dialed, "reused": s.Reused, "stale": s.Stale, "mismatched": s.Mismatched}
 	})
 	i.metrics.Func(metricAge, func() any {
-		if !i.routes.Known() {
+		if !i.routes.Synced() {
 			return -1
 		}
 		return i.routes.ConfirmedAge().Seconds()
@@ -71,7 +71,7 @@
 func workValues(c stagework.Counts) map[string]int {
 	return map[string]int{
 		"jobs": c.Jobs, "placed": c.Placed, "refused": c.Refused, "calls": c.Calls, "pieces": c.Pieces,
-		"room": c.Room, "gone": c.Gone, "late": c.Late, "errors": c.Errors, "full": c.Full, "hung": c.Hung, "redo": c.Redo,
+		"room": c.OutOfMemory, "gone": c.InputsLost, "late": c.Late, "errors": c.Errors, "full": c.NoSlot, "hung": c.TimedOut, "redo": c.Remade,
 	}
 }
 
@@ -107,8 +107,8 @@
 
 func (s *timedStages) values() map[string]int64 {
 	values := make(map[string]int64)
-	s.ok.Into(values, "ok")
-	s.full.Into(values, "full")
-	s.failed.Into(values, "failed")
+	s.ok.SetValues(values, "ok")
+	s.full.SetValues(values, "full")
+	s.failed.SetValues(values, "failed")
 	return values
 }
--- a/internal/edge/notices.go
+++ b/internal/edge/notices.go
@@ -14,9 +14,9 @@
 	if target == "" {
 		target, _ = i.routes.Targets().AtAddress(r.Address)
 	}
-	sent := i.notices.Sent(target)
+	sent := i.notices.BeginRequest(target)
 	return func(status int, h http.Header) {
-		sent.Answered(i.adapter.Codec.Notice(status, h), status/100 == 2)
+		sent.ResponseReceived(i.adapter.Codec.ParseNotice(status, h), status/100 == 2)
 	}
 }
 
@@ -25,9 +25,9 @@
 // would otherwise learn of it only from responses to their own requests.
 func (i *Instance) noticeChanged(before, after board.Notice) {
 	if after.Leaving && !before.Leaving {
-		i.routes.Reconsider()
+		i.routes.UpdateTargets()
 	}
 	if i.liveInstances() > 1 {
-		i.members.Hurry()
+		i.members.RequestExchanges()
 	}
 }
--- a/internal/edge/notices_test.go
+++ b/internal/edge/notices_test.go
@@ -15,7 +15,7 @@
 
 // receiveNotice makes the instance receive a response with the notice from the target.
 func (m *member) receiveNotice(target string, n fleet.Notice) {
-	m.notices.Sent(target).Answered(n, true)
+	m.notices.BeginRequest(target).ResponseReceived(n, true)
 }
 
 // Guards against a target that states a limit of requests per second but gets that rate from
--- a/internal/edge/run.go
+++ b/internal/edge/run.go
@@ -33,7 +33,7 @@
 		i.stop()
 	case err = <-failed:
 	}
-	i.ingress.Cut()
+	i.ingress.CancelRequests()
 	i.closeServers()
 	i.dispatcher.Close()
 	stop()
@@ -50,7 +50,7 @@
 	defer cancel()
 	go func() { _ = i.adapter.Platform.Deregister(ctx, i.id()) }()
 	i.members.Leave(ctx)
-	i.dispatcher.HandBack()
+	i.dispatcher.ReturnJobs()
 	for {
 		waited := i.o.Clock.Now().Sub(began)
 		idle := i.ingress.InFlight() == 0 && i.dispatcher.Jobs() == 0
--- a/internal/edge/scheduling.go
+++ b/internal/edge/scheduling.go
@@ -11,7 +11,7 @@
 	if i.ingress.Stopping() {
 		return nil, nil
 	}
-	return i.finder.Take(job)
+	return i.finder.Accept(job)
 }
 
 // updateDispatcher passes the current routes and targets to the dispatcher.
--- a/internal/edge/settings.go
+++ b/internal/edge/settings.go
@@ -55,8 +55,8 @@
 	live, to := &running.Ingress, next.Ingress
 	live.AddressTTL = to.AddressTTL
 	live.Grace = to.Grace
-	live.Touch = to.Touch
-	live.Apply = to.Apply
+	live.OutOfTouchAfter = to.OutOfTouchAfter
+	live.ApplyWithin = to.ApplyWithin
 	live.FailClosed = to.FailClosed
 	live.Revocation = to.Revocation
 	live.RetryRatio = to.RetryRatio
@@ -95,14 +95,14 @@
 // newForwarder returns a forwarder. It also sets i.budget, whose limits Reload changes.
 func (i *Instance) newForwarder() *forwarding.Forwarder {
 	s := i.settings()
-	i.budget = forwarding.NewBudget(forwarding.BudgetOptions{
+	i.budget = forwarding.NewRetryBudget(forwarding.RetryBudgetOptions{
 		Ratio: s.RetryRatio, Extra: s.RetryExtra, Window: s.RetryWindow.Duration,
 		Instances: i.sharers, Clock: i.o.Clock, Logger: i.o.Logger,
 	})
 	return forwarding.New(forwarding.Options{
-		Codec: i.adapter.Codec, Exchange: i.pool, Targets: i.routes.Targets, Work: i.finder,
+		Codec: i.adapter.Codec, Exchange: i.pool, Targets: i.routes.Targets, Scheduler: i.finder,
 		Budget: i.budget,
-		Loads:  i.loads, Crashes: i.guard, Cold: i.cold, Limited: i.limited, Asks: i.notices, Place: i.cfg.Instance.Place,
+		Loads:  i.loads, CrashGuard: i.guard, ColdLimits: i.cold, StatedLimits: i.limited, Notices: i.notices, Zone: i.cfg.Instance.Zone,
 		Clock: i.o.Clock, Rand: i.rand(), Logger: i.o.Logger,
 	})
 }
--- a/internal/edge/state.go
+++ b/internal/edge/state.go
@@ -29,21 +29,21 @@
 // grounds returns the evidence for a response that a route or a key does not exist: the
 // age and source of the last confirmation of the routes, and whether it is recent
 // enough.
-func (i *Instance) grounds(ctx context.Context) ingress.Grounds {
-	age, source := i.routes.AssureRoutes(ctx)
-	return ingress.Grounds{Sure: age <= i.times().Change, Age: age, Source: source}
+func (i *Instance) grounds(ctx context.Context) ingress.Confirmation {
+	age, source := i.routes.RefreshRoutes(ctx)
+	return ingress.Confirmation{Current: age <= i.times().Change, Age: age, Source: source}
 }
 
 // times returns the time limits for learning of changes that follow from the settings.
 func (i *Instance) times() routesync.Times {
 	s := i.settings()
-	return routesync.TimesOf(s.Apply.Duration, s.Touch.Duration)
+	return routesync.TimesOf(s.ApplyWithin.Duration, s.OutOfTouchAfter.Duration)
 }
 
 // serving reports whether the instance accepts requests.
 func (i *Instance) serving() bool {
 	i.checkClock()
-	return i.routes.Known() && !i.mustFailClosed() && !i.awaitingConfirmation()
+	return i.routes.Synced() && !i.mustFailClosed() && !i.awaitingConfirmation()
 }
 
 // mustFailClosed reports whether this instance may still accept revoked keys and the
@@ -100,7 +100,7 @@
 		i.resumedAt.Store(int64(now)) // before lastClockCheck shows other goroutines that the gap was detected
 	}
 	if i.lastClockCheck.CompareAndSwap(last, int64(now)) && gap > minSuspension {
-		i.routes.Recheck()
+		i.routes.Relist()
 		i.o.Logger.Log(event.IngressWoke, "gap_ms", gap.Milliseconds())
 	}
 }
@@ -154,14 +154,14 @@
 		if id == i.id() || m.State != board.MemberAlive || m.CallerAddr == "" {
 			continue
 		}
-		if m.Place == zone {
+		if m.Zone == zone {
 			near = append(near, m.CallerAddr)
 		} else {
 			far = append(far, m.CallerAddr)
 		}
 	}
 	if !i.ingress.Stopping() {
-		if i.cfg.Instance.Place == zone {
+		if i.cfg.Instance.Zone == zone {
 			near = append(near, i.cfg.Ingress.Listen)
 		} else {
 			far = append(far, i.cfg.Ingress.Listen)
--- a/internal/edge/storecalls.go
+++ b/internal/edge/storecalls.go
@@ -31,7 +31,7 @@
 
 // Get implements store.Reader.
 func (c *countedPlatform) Get(ctx context.Context, key string) (store.Object, error) {
-	if store.MayBeOld(ctx) {
+	if store.StaleAllowed(ctx) {
 		c.calls.Add("old "+kindOf(key), 1)
 	} else {
 		c.calls.Add("get "+kindOf(key), 1)
--- a/internal/event/catalogue_routesync.go
+++ b/internal/event/catalogue_routesync.go
@@ -10,7 +10,7 @@
 	RouteStoreLost     ID = 3356
 	RouteStoreRegained ID = 3357
 	RoutePullFailed    ID = 3358
-	PlacesEvacuated    ID = 3359
+	ZonesEvacuated     ID = 3359
 	StoreEraRose       ID = 3360
 	RouteStoreSilent   ID = 3361
 )
@@ -26,5 +26,5 @@
 	Definition{RouteStoreRegained, Info, "route_store_regained", "The platform answers queries for routes and targets again."},
 	Definition{RoutePullFailed, Debug, "route_pull_failed", "Routes or targets could not be fetched from a peer; the next exchange names another peer."},
 	Definition{StoreEraRose, Warn, "store_era_rose", "The platform's store was restored from an older copy: everything written since that copy is lost until it is written again. What was in force on this instance stays in force; changes written after the restore are accepted."},
-	Definition{PlacesEvacuated, Info, "places_evacuated", "The availability zones whose targets get no new work, by an operator's order, have changed on this instance."},
+	Definition{ZonesEvacuated, Info, "places_evacuated", "The availability zones whose targets get no new work, by an operator's order, have changed on this instance."},
 )
--- a/internal/exchange/answer.go
+++ b/internal/exchange/answer.go
@@ -83,7 +83,7 @@
 		if err != nil {
 			return nil, err
 		}
-		id := x.pool.opts.AnswerID(resp.Header)
+		id := x.pool.opts.AttemptID(resp.Header)
 		if id == "" || x.request.ID == "" || id == x.request.ID {
 			return resp, nil
 		}
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -61,11 +61,11 @@
 	// target could exhaust the memory.
 	MaxHeaderBytes int
 
-	// AnswerID returns the ID of the attempt that a response's header states, ""
+	// AttemptID returns the ID of the attempt that a response's header states, ""
 	// if none. Nil = responses state no ID. Only this detects a late response to
 	// an earlier request that arrives on a reused connection after the check for
 	// unexpected bytes.
-	AnswerID func(http.Header) string
+	AttemptID func(http.Header) string
 
 	// OnSend is called with each request that is about to be sent. The function
 	// that it returns is called with the status and header of the response to this
@@ -177,8 +177,8 @@
 	if opts.Unacked == nil {
 		opts.Unacked = unacked
 	}
-	if opts.AnswerID == nil {
-		opts.AnswerID = func(http.Header) string { return "" }
+	if opts.AttemptID == nil {
+		opts.AttemptID = func(http.Header) string { return "" }
 	}
 	if opts.OnSend == nil {
 		opts.OnSend = func(Request) func(int, http.Header) { return func(int, http.Header) {} }
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -103,7 +103,7 @@
 			address := serveTCP(t, func(p *targetConn) {
 				p.answers("HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 0\r\n\r\n", c.late)
 			})
-			p := New(Options{AnswerID: func(h http.Header) string { return h.Get("Id") }})
+			p := New(Options{AttemptID: func(h http.Header) string { return h.Get("Id") }})
 			wantBody(t, p, Request{Address: address, Method: c.first, ID: "1"}, "")
 			got, err := get(t, p, Request{Address: address, Method: c.method, ID: "2"})
 			if c.ok && (err != nil || got != "mine") {
@@ -268,7 +268,7 @@
 	// connection is returned to the pool although it is about to be closed.
 	ctx, cancel := context.WithCancel(t.Context())
 	address := serveTCP(t, func(p *targetConn) { p.answers("HTTP/1.1 204 No\r\n\r\n") })
-	p := New(Options{AnswerID: func(http.Header) string { cancel(); return "" }})
+	p := New(Options{AttemptID: func(http.Header) string { cancel(); return "" }})
 	if _, err := p.Do(ctx, Request{Address: address, Method: "GET", URI: "/"}); err != nil || len(p.idle) != 0 {
 		t.Fatalf("%v, kept %d", err, len(p.idle))
 	}
--- a/internal/exchange/fuzz_test.go
+++ b/internal/exchange/fuzz_test.go
@@ -28,7 +28,7 @@
 	f.Fuzz(func(t *testing.T, raw []byte, head bool) {
 		raw = raw[:min(len(raw), 4000)] // no more than is read at once
 		p := New(Options{
-			AnswerID: func(h http.Header) string { return h.Get("Id") },
+			AttemptID: func(h http.Header) string { return h.Get("Id") },
 			Dial: func(context.Context, string, string) (net.Conn, error) {
 				near, far := net.Pipe()
 				answers := [][]byte{raw, []byte(second)}
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -25,9 +25,9 @@
 	return Source{Name: name, Open: func() (io.ReadCloser, error) { return io.NopCloser(strings.NewReader(text)), nil }}
 }
 
-func mustTell(t *testing.T, request string, around time.Duration, sources ...Source) Story {
+func mustTell(t *testing.T, request string, around time.Duration, sources ...Source) Timeline {
 	t.Helper()
-	story, err := Tell(request, around, sources)
+	story, err := ReadTimeline(request, around, sources)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -107,11 +107,11 @@
 
 func TestUnknownRequest(t *testing.T) {
 	cut := strings.Replace(refused, `old"`, "old", 1)
-	story, err := Tell("22dba622af468c59", time.Second, []Source{source("a", attempt1, cut, "request 22dba622af468c59 in a report")})
+	story, err := ReadTimeline("22dba622af468c59", time.Second, []Source{source("a", attempt1, cut, "request 22dba622af468c59 in a report")})
 	if !errors.Is(err, ErrUnknown) || story.Unreadable != 1 {
 		t.Fatalf("%v, %d unreadable", err, story.Unreadable)
 	}
-	if _, err := Tell("22dba622af468c5", time.Second, []Source{source("a", refused)}); !errors.Is(err, ErrUnknown) {
+	if _, err := ReadTimeline("22dba622af468c5", time.Second, []Source{source("a", refused)}); !errors.Is(err, ErrUnknown) {
 		t.Fatalf("the beginning of an id: %v", err)
 	}
 }
@@ -244,7 +244,7 @@
 
 func TestErrorNamesTheFailedSource(t *testing.T) {
 	broken := Source{Name: "edge.log", Open: func() (io.ReadCloser, error) { return nil, io.ErrUnexpectedEOF }}
-	if _, err := Tell("x", 0, []Source{source("a", refused), broken}); !errors.Is(err, io.ErrUnexpectedEOF) || !strings.HasPrefix(err.Error(), "edge.log: ") {
+	if _, err := ReadTimeline("x", 0, []Source{source("a", refused), broken}); !errors.Is(err, io.ErrUnexpectedEOF) || !strings.HasPrefix(err.Error(), "edge.log: ") {
 		t.Fatal(err)
 	}
 }
--- a/internal/explain/text.go
+++ b/internal/explain/text.go
@@ -13,7 +13,7 @@
 // WriteText writes the timeline as readable text. Values with characters that
 // are not visible are quoted: callers choose some of the values and could
 // otherwise send control sequences to the reader's terminal.
-func (s Story) WriteText(out io.Writer) error {
+func (s Timeline) WriteText(out io.Writer) error {
 	w := &textWriter{out: out}
 	s.writeHead(w)
 	seen := make(map[int]bool)
@@ -44,7 +44,7 @@
 	}
 }
 
-func (s Story) writeHead(w *textWriter) {
+func (s Timeline) writeHead(w *textWriter) {
 	last := s.Steps[len(s.Steps)-1]
 	w.printf("request %s: %s from %s, %s UTC, over %v\n", quoteUnsafe(s.Request), plural(len(s.Steps)+s.MoreSteps, "line"),
 		strings.Join(s.instances(), ", "), s.Steps[0].Time.UTC().Format("2006-01-02 15:04:05.000"), last.After.Round(time.Millisecond))
@@ -60,7 +60,7 @@
 
 // instances returns the names of the instances that wrote lines about the
 // request, sorted.
-func (s Story) instances() []string {
+func (s Timeline) instances() []string {
 	var names []string
 	for _, step := range s.Steps {
 		names = append(names, quoteUnsafe(step.Instance))
@@ -91,7 +91,7 @@
 	return fmt.Sprintf("%+9.3f s  %s  %s (%d, %s)", step.After.Seconds(), quoteUnsafe(step.Instance), quoteUnsafe(step.Name), step.Event, quoteUnsafe(step.Level))
 }
 
-func (s Story) writeContext(w *textWriter) {
+func (s Timeline) writeContext(w *textWriter) {
 	if len(s.Context) == 0 {
 		w.printf("\nno context in the %v before these lines\n", s.Around)
 		return
--- a/internal/explain/timeline.go
+++ b/internal/explain/timeline.go
@@ -39,8 +39,8 @@
 	Times   []Field       `json:"times"` // durations of the request's phases, in the line that reports how it ended
 }
 
-// Story is the timeline of one request.
-type Story struct {
+// Timeline is the timeline of one request.
+type Timeline struct {
 	Request     string        `json:"request"`
 	Around      time.Duration `json:"around_ns"`
 	Steps       []Step        `json:"steps"`
@@ -50,11 +50,11 @@
 	Unreadable  int           `json:"unreadable"`   // number of lines that contain the request's ID and could not be parsed
 }
 
-// Tell reads the sources and returns the timeline of a request. Context is
+// ReadTimeline reads the sources and returns the timeline of a request. Context is
 // searched in the period around before each of the request's lines. The error
 // is ErrUnknown if no line is about the request.
-func Tell(request string, around time.Duration, sources []Source) (Story, error) {
-	story := Story{Request: request, Around: around, Steps: []Step{}, Context: []Step{}}
+func ReadTimeline(request string, around time.Duration, sources []Source) (Timeline, error) {
+	story := Timeline{Request: request, Around: around, Steps: []Step{}, Context: []Step{}}
 	if err := story.readSteps(sources); err != nil {
 		return story, err
 	}
@@ -65,7 +65,7 @@
 }
 
 // readSteps collects the lines about the request, sorted by time.
-func (s *Story) readSteps(sources []Source) error {
+func (s *Timeline) readSteps(sources []Source) error {
 	var lines []Line
 	unreadable, err := scan(sources, idFilter(s.Request), func(l Line) {
 		switch {
@@ -92,7 +92,7 @@
 }
 
 // readContext collects the context lines, sorted by time.
-func (s *Story) readContext(sources []Source) error {
+func (s *Timeline) readContext(sources []Source) error {
 	c := collector{story: s}
 	if _, err := scan(sources, mayBeContext, c.add); err != nil {
 		return err
@@ -121,7 +121,7 @@
 // the last one occurs in other lines too, which have none of the others.
 var timeKeys = []string{"read_ms", "wait_ms", "first_ms", "ms"}
 
-func (s *Story) step(l Line, begin time.Time) Step {
+func (s *Timeline) step(l Line, begin time.Time) Step {
 	step := Step{Line: l, After: l.Time.Sub(begin), Meaning: meaning(l), Inputs: []Field{}, Outcome: []Field{}, Times: []Field{}}
 	timed := l.Get(timeKeys[0]) != ""
 	for _, f := range l.Fields {
@@ -163,7 +163,7 @@
 
 // collector keeps the most relevant context lines.
 type collector struct {
-	story   *Story
+	story   *Timeline
 	found   []candidate
 	omitted int
 }
--- a/internal/filewatch/filewatch.go
+++ b/internal/filewatch/filewatch.go
@@ -45,17 +45,17 @@
 
 // Watch holds the files to poll and the functions to call.
 type Watch struct {
-	Files Files
-	Every time.Duration // not above 0 = DefaultInterval
-	Clock clock.Clock   // nil = real time
-	// Used returns the state of the files whose content is in use. The state has to be
+	Files    Files
+	Interval time.Duration // not above 0 = DefaultInterval
+	Clock    clock.Clock   // nil = real time
+	// LoadedState returns the state of the files whose content is in use. The state has to be
 	// taken before the files are read: a file that is replaced during the reading is
 	// then detected at the next poll.
-	Used func() State
+	LoadedState func() State
 	// Reload reads the files and puts their content to use.
 	Reload func() error
-	// Done is called after each Reload with its error, nil if the files could be used.
-	Done func(err error)
+	// OnReload is called after each Reload with its error, nil if the files could be used.
+	OnReload func(err error)
 }
 
 // Run polls the files until ctx ends and reloads them whenever one was replaced. If the
@@ -65,11 +65,11 @@
 		<-ctx.Done()
 		return
 	}
-	defaults.Positive(&w.Every, DefaultInterval)
+	defaults.Positive(&w.Interval, DefaultInterval)
 	if w.Clock == nil {
 		w.Clock = quartz.NewReal()
 	}
-	ticker := w.Clock.NewTicker(w.Every)
+	ticker := w.Clock.NewTicker(w.Interval)
 	defer ticker.Stop()
 	var failed State
 	for {
@@ -88,11 +88,11 @@
 // next poll detects the change of the second file and succeeds.
 func (w Watch) poll(failed State) State {
 	now := w.Files.State()
-	if now == w.Used() || now == failed {
+	if now == w.LoadedState() || now == failed {
 		return failed
 	}
 	err := w.Reload()
-	w.Done(err)
+	w.OnReload(err)
 	if err != nil {
 		return now
 	}
--- a/internal/filewatch/filewatch_test.go
+++ b/internal/filewatch/filewatch_test.go
@@ -21,7 +21,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		var used State
 		reloads, refused := 0, 0
-		w := Watch{Files: Files{1: path}, Used: func() State { return used }}
+		w := Watch{Files: Files{1: path}, LoadedState: func() State { return used }}
 		w.Reload = func() error {
 			state := w.Files.State()
 			if text, err := os.ReadFile(path); err != nil || string(text) == "bad" {
@@ -30,7 +30,7 @@
 			used = state
 			return nil
 		}
-		w.Done = func(err error) {
+		w.OnReload = func(err error) {
 			reloads++
 			if err != nil {
 				refused++
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -13,7 +13,7 @@
 	ID       string // of this run; a restarted server has another
 	Service  string
 	Address  string // IP:port
-	Place    string
+	Zone     string
 	Slots    int
 	Draining bool // accepts no new work: it is leaving, or its availability zone is evacuated
 	// Sequence counts the updates that the target itself wrote to the store; 0 = it does
--- a/internal/forwarding/bench_test.go
+++ b/internal/forwarding/bench_test.go
@@ -111,7 +111,7 @@
 
 // BenchmarkBudget counts a request and tries to spend a retry, which is mostly refused.
 func BenchmarkBudget(b *testing.B) {
-	budget := NewBudget(BudgetOptions{Ratio: 0.1, Window: 10 * time.Second, Instances: func() int { return 370 }, Clock: quartz.NewReal()})
+	budget := NewRetryBudget(RetryBudgetOptions{Ratio: 0.1, Window: 10 * time.Second, Instances: func() int { return 370 }, Clock: quartz.NewReal()})
 	b.ReportAllocs()
 	for b.Loop() {
 		budget.Request("s")
--- a/internal/forwarding/budget.go
+++ b/internal/forwarding/budget.go
@@ -43,8 +43,8 @@
 	joinDelay = 3 * time.Second
 )
 
-// BudgetOptions configure a Budget.
-type BudgetOptions struct {
+// RetryBudgetOptions configure a Budget.
+type RetryBudgetOptions struct {
 	Ratio  float64       // retries per request
 	Extra  float64       // additional retries per window, of all instances together
 	Window time.Duration // period to which both limits apply
@@ -55,13 +55,13 @@
 	Logger    *event.Logger // nil disables logging
 }
 
-// BudgetStats holds the counters of a Budget since its creation.
-type BudgetStats struct {
+// RetryBudgetStats holds the counters of a Budget since its creation.
+type RetryBudgetStats struct {
 	Allowed, Refused int64 // retries
 	Instances        int   // last divisor of the extra retries; 0 = none yet
 }
 
-// Budget is a retry budget: it limits how often requests are sent to a second
+// RetryBudget is a retry budget: it limits how often requests are sent to a second
 // target. The budget is a share of this instance's own requests in the window, plus
 // an equal part of a number of extra retries that all instances share.
 //
@@ -88,14 +88,14 @@
 // disadvantage. Proportional parts would have to be sent with each heartbeat for each
 // service, and would be as outdated as the number of instances is; they are not
 // implemented.
-type Budget struct {
+type RetryBudget struct {
 	mu             sync.Mutex // guards all below
-	o              BudgetOptions
+	o              RetryBudgetOptions
 	startedAt      time.Time
 	services       map[string]*budgetWindow
 	instanceCounts budgetWindow // its retries hold the maximum number of instances in each slot
 	knownInstances int          // last known number of instances
-	stats          BudgetStats
+	stats          RetryBudgetStats
 }
 
 // budgetWindow counts a service's requests and retries in time slots.
@@ -105,15 +105,15 @@
 	newest   int64 // number of the newest slot
 }
 
-// NewBudget returns the budget of an instance that starts now.
-func NewBudget(o BudgetOptions) *Budget {
-	return &Budget{o: o, startedAt: o.Clock.Now(), services: make(map[string]*budgetWindow)}
+// NewRetryBudget returns the budget of an instance that starts now.
+func NewRetryBudget(o RetryBudgetOptions) *RetryBudget {
+	return &RetryBudget{o: o, startedAt: o.Clock.Now(), services: make(map[string]*budgetWindow)}
 }
 
 // SetBounds replaces the bounds. Requests and retries of the current window still
 // count, unless the window length changes: the budget then starts over like that
 // of a new instance.
-func (b *Budget) SetBounds(ratio, extra float64, window time.Duration) {
+func (b *RetryBudget) SetBounds(ratio, extra float64, window time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if window != b.o.Window {
@@ -124,7 +124,7 @@
 }
 
 // Request counts a request for the service.
-func (b *Budget) Request(service string) {
+func (b *RetryBudget) Request(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w := b.window(service)
@@ -132,7 +132,7 @@
 }
 
 // Spend takes a retry from the service's budget. It returns false if none is left.
-func (b *Budget) Spend(service string) bool {
+func (b *RetryBudget) Spend(service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if !b.trySpend(service) {
@@ -147,7 +147,7 @@
 
 // SpendWithin is like Spend, but waits for a retry to become available, for at most
 // limit and until ctx ends.
-func (b *Budget) SpendWithin(ctx context.Context, service string, limit time.Duration) bool {
+func (b *RetryBudget) SpendWithin(ctx context.Context, service string, limit time.Duration) bool {
 	for until := b.o.Clock.Now().Add(limit); ; {
 		b.mu.Lock()
 		spent := b.trySpend(service)
@@ -166,7 +166,7 @@
 }
 
 // trySpend takes a retry if one is left. The caller must hold b.mu.
-func (b *Budget) trySpend(service string) bool {
+func (b *RetryBudget) trySpend(service string) bool {
 	w := b.window(service)
 	if float64(sum(w.retries[:])+1) > b.o.Ratio*w.weightedRequests()+b.extra() {
 		return false
@@ -177,7 +177,7 @@
 }
 
 // Stats returns a snapshot of the counters.
-func (b *Budget) Stats() BudgetStats {
+func (b *RetryBudget) Stats() RetryBudgetStats {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.stats
@@ -185,7 +185,7 @@
 
 // window returns the service's window, advanced to the current slot. The caller must
 // hold b.mu.
-func (b *Budget) window(service string) *budgetWindow {
+func (b *RetryBudget) window(service string) *budgetWindow {
 	w := b.services[service]
 	if w == nil {
 		w = &budgetWindow{newest: b.slot()}
@@ -198,7 +198,7 @@
 // slot returns the number of the current slot since the budget began, by the
 // monotonic clock: if it followed the wall clock, a step forward would make the
 // budget forget what was spent within the window.
-func (b *Budget) slot() int64 {
+func (b *RetryBudget) slot() int64 {
 	return int64(b.o.Clock.Now().Sub(b.startedAt)) / max(int64(b.o.Window)/budgetParts, 1)
 }
 
@@ -213,7 +213,7 @@
 }
 
 // extra returns this instance's part of the extra retries. The caller must hold b.mu.
-func (b *Budget) extra() float64 {
+func (b *RetryBudget) extra() float64 {
 	age, share, ramp := b.o.Clock.Now().Sub(b.startedAt), extraShare, 1.0
 	if age < b.o.Window+joinDelay {
 		share, ramp = joiningExtraShare, min(age.Seconds()/b.o.Window.Seconds(), 1)
@@ -232,7 +232,7 @@
 
 // instances returns the largest number of instances known within the window, or
 // 0 if the number is not known yet. The caller must hold b.mu.
-func (b *Budget) instances() int {
+func (b *RetryBudget) instances() int {
 	n, w := b.o.Instances(), &b.instanceCounts
 	// The slots since the last call get the last known number.
 	w.advance(b.slot(), b.knownInstances)
--- a/internal/forwarding/budget_bursts_test.go
+++ b/internal/forwarding/budget_bursts_test.go
@@ -15,9 +15,9 @@
 	for seed := range uint64(100) {
 		clock, source := quartz.NewMock(t).WithLogger(quartz.NoOpLogger), rand.New(rand.NewPCG(seed, 41))
 		began := clock.Now()
-		budgets := make([]*Budget, instances)
+		budgets := make([]*RetryBudget, instances)
 		for i := range budgets {
-			budgets[i] = NewBudget(BudgetOptions{Ratio: 0.2, Extra: 56, Window: window, Clock: clock, Instances: func() int { return instances }})
+			budgets[i] = NewRetryBudget(RetryBudgetOptions{Ratio: 0.2, Extra: 56, Window: window, Clock: clock, Instances: func() int { return instances }})
 		}
 		var requests, repeats []int
 		nextBurst, burstEnd, failuresStart := window, time.Duration(0), time.Duration(0)
--- a/internal/forwarding/budget_moves_test.go
+++ b/internal/forwarding/budget_moves_test.go
@@ -15,10 +15,10 @@
 	for seed := range uint64(100) {
 		clock, source := quartz.NewMock(t).WithLogger(quartz.NoOpLogger), rand.New(rand.NewPCG(seed, 43))
 		began := clock.Now()
-		newBudget := func() *Budget {
-			return NewBudget(BudgetOptions{Ratio: 0.2, Extra: extra, Window: window, Clock: clock, Instances: func() int { return instances }})
+		newBudget := func() *RetryBudget {
+			return NewRetryBudget(RetryBudgetOptions{Ratio: 0.2, Extra: extra, Window: window, Clock: clock, Instances: func() int { return instances }})
 		}
-		budgets := make([]*Budget, instances)
+		budgets := make([]*RetryBudget, instances)
 		for i := range budgets {
 			budgets[i] = newBudget()
 		}
--- a/internal/forwarding/budget_restart_test.go
+++ b/internal/forwarding/budget_restart_test.go
@@ -25,12 +25,12 @@
 	t.Helper()
 	clock, source := quartz.NewMock(t).WithLogger(quartz.NoOpLogger), rand.New(rand.NewPCG(seed, 35))
 	began := clock.Now()
-	start := func() *Budget {
-		return NewBudget(BudgetOptions{
+	start := func() *RetryBudget {
+		return NewRetryBudget(RetryBudgetOptions{
 			Ratio: s.ratio, Extra: s.extra, Window: s.window, Clock: clock, Instances: func() int { return s.instances },
 		})
 	}
-	budgets := make([]*Budget, s.instances)
+	budgets := make([]*RetryBudget, s.instances)
 	for i := range budgets {
 		budgets[i] = start()
 	}
@@ -97,10 +97,10 @@
 		for _, fault := range []time.Duration{8 * time.Second, 10 * time.Second, 11 * time.Second} {
 			clock := quartz.NewMock(t).WithLogger(quartz.NoOpLogger)
 			began := clock.Now()
-			budgets := make([]*Budget, 7)
+			budgets := make([]*RetryBudget, 7)
 			start := func() {
 				for i := range budgets {
-					budgets[i] = NewBudget(BudgetOptions{Ratio: ratio, Extra: extra, Window: window, Clock: clock, Instances: func() int { return len(budgets) }})
+					budgets[i] = NewRetryBudget(RetryBudgetOptions{Ratio: ratio, Extra: extra, Window: window, Clock: clock, Instances: func() int { return len(budgets) }})
 				}
 			}
 			start()
--- a/internal/forwarding/budget_test.go
+++ b/internal/forwarding/budget_test.go
@@ -81,19 +81,19 @@
 		for kind, pattern := range patterns {
 			t.Run(name+"/"+kind, func(t *testing.T) {
 				clock, source := quartz.NewMock(t).WithLogger(quartz.NoOpLogger), rand.New(rand.NewPCG(31, 37))
-				budgets := make([]*Budget, len(all))
+				budgets := make([]*RetryBudget, len(all))
 				var requests, repeats [steps]int
 				spent := 0
 				for step := range steps {
 					at := time.Duration(step) * tick
 					clock.Set(time.Unix(1000, 0).Add(at))
-					var alive []*Budget
+					var alive []*RetryBudget
 					for i, l := range all {
 						if at < time.Duration(l.joins*float64(window)) || l.dies > 0 && at >= time.Duration(l.dies*float64(window)) {
 							continue
 						}
 						if budgets[i] == nil {
-							budgets[i] = NewBudget(BudgetOptions{Ratio: ratio, Extra: extra, Window: window, Clock: clock, Instances: func() int {
+							budgets[i] = NewRetryBudget(RetryBudgetOptions{Ratio: ratio, Extra: extra, Window: window, Clock: clock, Instances: func() int {
 								return l.counts(all, clock.Now().Sub(time.Unix(1000, 0)), window)
 							}})
 						}
@@ -129,7 +129,7 @@
 	const ratio, extra, instances, skew = 0.2, 56, 5, 0.8
 	for requests, want := range map[int]int{5000: 96, 500: 75, 50: 37} {
 		clock := quartz.NewMock(t).WithLogger(quartz.NoOpLogger)
-		b := NewBudget(BudgetOptions{Ratio: ratio, Extra: extra, Window: 10 * time.Second, Clock: clock, Instances: func() int { return instances }})
+		b := NewRetryBudget(RetryBudgetOptions{Ratio: ratio, Extra: extra, Window: 10 * time.Second, Clock: clock, Instances: func() int { return instances }})
 		clock.Set(clock.Now().Add(time.Minute))
 		spent := 0
 		for range 2 { // the previous window and the current one
@@ -151,7 +151,7 @@
 // Guards against more retries than operators allow within a window after the wall clock steps forward: slots by the wall
 // clock would make the budget forget what was spent.
 func TestTheBudgetIsTimedByTheSteadyClock(t *testing.T) {
-	b := NewBudget(BudgetOptions{Window: 10 * time.Second, Clock: quartz.NewReal(), Instances: func() int { return 1 }})
+	b := NewRetryBudget(RetryBudgetOptions{Window: 10 * time.Second, Clock: quartz.NewReal(), Instances: func() int { return 1 }})
 	if slot := b.slot(); slot != 0 || !strings.Contains(b.startedAt.String(), "m=") {
 		t.Errorf("slot %d at the start, which is %v", slot, b.startedAt)
 	}
--- a/internal/forwarding/crashes.go
+++ b/internal/forwarding/crashes.go
@@ -29,7 +29,7 @@
 // at the same time share one check.
 func (fl *flight) suspectCrash(target fleet.Target, err error) {
 	if !wasSent(err) || errors.Is(err, context.Canceled) || errors.Is(err, context.DeadlineExceeded) ||
-		errors.Is(err, errUnsigned) || errors.Is(err, exchange.ErrUnacknowledged) || fl.o.Crashes == nil {
+		errors.Is(err, errUnsigned) || errors.Is(err, exchange.ErrUnacknowledged) || fl.o.CrashGuard == nil {
 		return
 	}
 	known, fingerprint := make(chan struct{}), fl.fingerprint()
@@ -37,7 +37,7 @@
 	go func() {
 		defer close(known)
 		if fl.targetDied(target) {
-			fl.o.Crashes.TargetDied(fingerprint, target.ID)
+			fl.o.CrashGuard.RecordCrash(fingerprint, target.ID)
 		}
 	}()
 }
@@ -48,7 +48,7 @@
 	died, _, _ := f.crashChecks.Do(target.ID, func() (any, error) {
 		ctx, cancel := context.WithTimeout(context.Background(), crashCheckTimeout)
 		defer cancel()
-		return f.o.Crashes.Died(ctx, stagecall.Target{ID: target.ID, Address: target.Address}), nil
+		return f.o.CrashGuard.HasCrashed(ctx, stagecall.Target{ID: target.ID, Address: target.Address}), nil
 	})
 	return died.(bool)
 }
@@ -80,7 +80,7 @@
 // avoid while there is another target, so that it stays isolated from other
 // suspected requests. It returns none if the request is not suspected.
 func (fl *flight) excludedTargets() []string {
-	if !fl.o.Crashes.Suspect(fl.fingerprint()) {
+	if !fl.o.CrashGuard.Suspected(fl.fingerprint()) {
 		return nil
 	}
 	targets := fl.o.Targets().Ready(fl.service)
@@ -88,7 +88,7 @@
 	for _, t := range targets {
 		ids = append(ids, t.ID)
 	}
-	return fl.o.Crashes.Apart(fl.fingerprint(), ids)
+	return fl.o.CrashGuard.TargetsToAvoid(fl.fingerprint(), ids)
 }
 
 // chooseTarget returns a plain target for the next attempt, and a function that
@@ -97,7 +97,7 @@
 // at a target that dies, one of them is harmless.
 func (fl *flight) chooseTarget() (target fleet.Target, endSuspect func(), ok bool) {
 	fingerprint, tried := fl.fingerprint(), fl.triedTargets
-	if fl.o.Crashes.Suspect(fingerprint) {
+	if fl.o.CrashGuard.Suspected(fingerprint) {
 		// Several requests become suspected by the same death and choose their
 		// next targets at the same time.
 		fl.suspectMu.Lock()
@@ -108,7 +108,7 @@
 	if !ok {
 		return target, nil, false
 	}
-	return target, fl.o.Crashes.Begin(fingerprint, target.ID), true
+	return target, fl.o.CrashGuard.Begin(fingerprint, target.ID), true
 }
 
 // beginAttempt reports the start of an attempt at the engine to the crash guard. ok
@@ -116,7 +116,7 @@
 // After maxPassedOver rejections the request is served by any engine.
 func (ef *engineFlight) beginAttempt(engine string) (endSuspect func(), ok bool) {
 	fingerprint := ef.fingerprint()
-	if !ef.o.Crashes.Suspect(fingerprint) {
+	if !ef.o.CrashGuard.Suspected(fingerprint) {
 		return func() {}, true
 	}
 	ef.suspectMu.Lock()
@@ -125,5 +125,5 @@
 		ef.passedOver++
 		return nil, false
 	}
-	return ef.o.Crashes.Begin(fingerprint, engine), true
+	return ef.o.CrashGuard.Begin(fingerprint, engine), true
 }
--- a/internal/forwarding/engine.go
+++ b/internal/forwarding/engine.go
@@ -19,11 +19,11 @@
 	*flight
 	assignment        stagework.Assignment
 	stream            stream
-	brokenEngines     []string         // ids of engines whose stream broke off
-	lostDispatchers   int              // number of dispatchers that were lost
-	skippedPlacements int              // number of placements rejected because the engine takes no work from here
-	passedOver        int              // number of placements rejected because the engine runs another suspected request
-	earlierResults    []stagework.Made // stage results of the previous dispatcher
+	brokenEngines     []string              // ids of engines whose stream broke off
+	lostDispatchers   int                   // number of dispatchers that were lost
+	skippedPlacements int                   // number of placements rejected because the engine takes no work from here
+	passedOver        int                   // number of placements rejected because the engine runs another suspected request
+	earlierResults    []stagework.ResultRef // stage results of the previous dispatcher
 }
 
 // maxLostDispatchers bounds how many dispatchers may be lost during one request.
@@ -63,8 +63,8 @@
 // moveAssignment ends the assignment at a lost dispatcher and keeps its stage results
 // for the next one.
 func (ef *engineFlight) moveAssignment() {
-	ef.earlierResults = ef.assignment.Made()
-	ef.assignment.Moved()
+	ef.earlierResults = ef.assignment.Results()
+	ef.assignment.Transferred()
 	ef.assignment = nil
 }
 
@@ -75,7 +75,7 @@
 	defer func() { ef.placementWait += ef.o.Clock.Now().Sub(began) }()
 	for {
 		if ef.assignment == nil {
-			a, refusal, err := ef.o.Work.Submit(ctx, ef.job())
+			a, refusal, err := ef.o.Scheduler.Submit(ctx, ef.job())
 			if err != nil {
 				return stagework.Decision{}, err
 			}
@@ -89,10 +89,10 @@
 		select {
 		case d := <-ef.assignment.Decisions():
 			switch {
-			case d.Lost != "":
-				ef.o.Work.Lost(d.Lost)
-			case d.Next != "":
-				ef.o.Work.Reached(d.Next)
+			case d.LostDispatcher != "":
+				ef.o.Scheduler.MarkLost(d.LostDispatcher)
+			case d.NextDispatcher != "":
+				ef.o.Scheduler.MarkReachable(d.NextDispatcher)
 			default:
 				return d, nil
 			}
@@ -111,10 +111,10 @@
 	aim, deadline := ef.nextEventTimes()
 	j := stagework.Job{
 		ID: ef.Request.ID, Key: ef.Request.PieceKey, Route: ef.Route.Name, Priority: ef.priority(),
-		Aim: aim, Deadline: deadline,
+		OnTimeUntil: aim, Deadline: deadline,
 		Stages: ef.Route.Stages, Pieces: ef.Request.Pieces, Service: ef.service,
-		Prompt: ef.Request.Prompt, Place: ef.o.Place, Made: ef.earlierResults,
-		Avoid: slices.Concat(ef.brokenEngines, ef.excludedTargets(), ef.pausedTargets()),
+		Prompt: ef.Request.Prompt, Zone: ef.o.Zone, Results: ef.earlierResults,
+		ExcludedEngines: slices.Concat(ef.brokenEngines, ef.excludedTargets(), ef.pausedTargets()),
 	}
 	if ef.Organisation != nil {
 		j.Organisation = ef.Organisation.Name
@@ -132,16 +132,16 @@
 	}
 	now := ef.o.Clock.Now()
 	deadline = ef.deadline
-	if ef.Route.FirstWait > 0 && now.Add(ef.Route.FirstWait).Before(deadline) {
-		deadline = now.Add(ef.Route.FirstWait)
+	if ef.Route.AbandonAfter > 0 && now.Add(ef.Route.AbandonAfter).Before(deadline) {
+		deadline = now.Add(ef.Route.AbandonAfter)
 	}
 	return now.Add(ef.latencyTarget()), deadline
 }
 
 // latencyTarget returns the time within which the first event is on time.
 func (fl *flight) latencyTarget() time.Duration {
-	if fl.Route.TargetLatency > 0 {
-		return fl.Route.TargetLatency
+	if fl.Route.LatencyObjective > 0 {
+		return fl.Route.LatencyObjective
 	}
 	return fl.timeout()
 }
@@ -182,11 +182,11 @@
 		return ef.failedResponse(ctx, target, resp, head)
 	}
 	ef.mayHaveRun = true
-	ef.assignment.Begun()
+	ef.assignment.AnswerStarted()
 	headForwarded()
 	err = ef.stream.forward(sending, resp)
 	if err == nil {
-		ef.o.Crashes.Survived(ef.fingerprint())
+		ef.o.CrashGuard.RecordSuccess(ef.fingerprint())
 		return true
 	}
 	if errors.Is(err, errCallerLeft) {
@@ -231,7 +231,7 @@
 	ef.mayHaveRun = ef.mayHaveRun || ran
 	if ctx.Err() != nil || ef.attempts >= maxTotalAttempts || !ef.mayRetry(ran) {
 		if ctx.Err() == nil {
-			ef.assignment.Broke()
+			ef.assignment.EngineFailed()
 		}
 		ef.failStream(ctx, err)
 		return true
@@ -241,7 +241,7 @@
 }
 
 // failedResponse handles an error response of the engine.
-func (ef *engineFlight) failedResponse(ctx context.Context, target fleet.Target, resp *exchange.Response, head relay.Answer) bool {
+func (ef *engineFlight) failedResponse(ctx context.Context, target fleet.Target, resp *exchange.Response, head relay.ResponseHead) bool {
 	a := &attemptResult{target: target, resp: resp, head: head}
 	ef.readResponse(a)
 	if impliesNotRun(resp.Status) && !ef.Route.Repeatable() {
@@ -250,7 +250,7 @@
 	if ef.stream.begun() || a.err != nil || resp.Status >= http.StatusInternalServerError && ef.Route.Repeatable() && ef.attempts < ef.maxAttempts() {
 		return ef.failed(ctx, target, true, errFaulty)
 	}
-	ef.assignment.Broke()
+	ef.assignment.EngineFailed()
 	ef.deliver(ctx, a)
 	return true
 }
@@ -258,7 +258,7 @@
 // broke handles a stream that broke off: it is resumed at another engine if the
 // route allows that.
 func (ef *engineFlight) broke(ctx context.Context, target fleet.Target, err error) bool {
-	ef.assignment.Broke()
+	ef.assignment.EngineFailed()
 	ef.logStreamBroken(target, err)
 	ef.brokenEngines = append(ef.brokenEngines, target.ID)
 	if ef.base.Err() == nil {
@@ -285,7 +285,7 @@
 	switch r.Reason {
 	case stagework.ReasonNoTarget:
 		kind = errkind.NoTarget
-	case stagework.ReasonAlone:
+	case stagework.ReasonIsolated:
 		kind = errkind.Isolated
 	}
 	ef.refuse(errkind.New(kind, "%s", r.Reason), r.RetryAfter)
--- a/internal/forwarding/fakes_test.go
+++ b/internal/forwarding/fakes_test.go
@@ -25,13 +25,13 @@
 // fakeCodec is a codec with X-* headers.
 type fakeCodec struct{ relay.Codec }
 
-func (fakeCodec) Answer(r *http.Response) relay.Answer {
-	return relay.Answer{Signed: r.Header.Get("X-Signed") != "", NotRun: r.Header.Get("X-Not-Run") != ""}
+func (fakeCodec) ParseResponse(r *http.Response) relay.ResponseHead {
+	return relay.ResponseHead{Signed: r.Header.Get("X-Signed") != "", NotRun: r.Header.Get("X-Not-Run") != ""}
 }
 
-func (fakeCodec) Outgoing(*relay.Request, relay.Call) http.Header { return http.Header{} }
-func (fakeCodec) AnswerHeader(h http.Header) http.Header          { return h.Clone() }
-func (fakeCodec) Own(h http.Header, _ *relay.Request, retryAfter time.Duration) {
+func (fakeCodec) OutgoingHeader(*relay.Request, relay.Call) http.Header { return http.Header{} }
+func (fakeCodec) ResponseHeader(h http.Header) http.Header              { return h.Clone() }
+func (fakeCodec) SetOwnHeader(h http.Header, _ *relay.Request, retryAfter time.Duration) {
 	if retryAfter >= 0 {
 		h.Set("Retry-After", retryAfter.String())
 	}
@@ -116,9 +116,9 @@
 	dispatcher.SetTargets(inbound(route.Streaming, true, true).Table, view)
 	return New(Options{
 		Codec: fakeCodec{}, Exchange: exchange.New(exchange.Options{}), Targets: func() *fleet.View { return view },
-		Work:   stagework.NewFinder(stagework.FinderOptions{Local: dispatcher, Members: func() []string { return nil }, Clock: clock}),
-		Budget: NewBudget(BudgetOptions{Ratio: 100, Window: time.Second, Instances: func() int { return 1 }, Clock: clock}),
-		Loads:  NewLoads(clock, "", rand.New(rand.NewPCG(1, 2))), Clock: clock, Rand: rand.New(rand.NewPCG(3, 4)),
+		Scheduler: stagework.NewFinder(stagework.FinderOptions{Local: dispatcher, Members: func() []string { return nil }, Clock: clock}),
+		Budget:    NewRetryBudget(RetryBudgetOptions{Ratio: 100, Window: time.Second, Instances: func() int { return 1 }, Clock: clock}),
+		Loads:     NewLoads(clock, "", rand.New(rand.NewPCG(1, 2))), Clock: clock, Rand: rand.New(rand.NewPCG(3, 4)),
 	})
 }
 
@@ -129,7 +129,7 @@
 		Kind: kind, Resumable: resumable, MaxAttempts: 3, Services: []route.WeightedService{{Name: "s", Weight: 1}},
 	}}}).Build()
 	return Inbound{
-		Request: &relay.Request{ID: "a", Method: "POST", Host: "h", URI: "/", Path: "/", Wait: 200 * time.Millisecond, Body: []byte("body")},
+		Request: &relay.Request{ID: "a", Method: "POST", Host: "h", URI: "/", Path: "/", Timeout: 200 * time.Millisecond, Body: []byte("body")},
 		Table:   table, Route: &table.Routes[0], Arrived: time.Now(),
 	}
 }
--- a/internal/forwarding/forwarder.go
+++ b/internal/forwarding/forwarder.go
@@ -35,11 +35,11 @@
 // Scheduler submits jobs to the dispatcher; stagework.Finder implements it.
 type Scheduler interface {
 	Submit(ctx context.Context, job stagework.Job) (stagework.Assignment, *stagework.Refusal, error)
-	// Reached reports that an instance whose dispatcher was lost may be asked
+	// MarkReachable reports that an instance whose dispatcher was lost may be asked
 	// again.
-	Reached(instance string)
-	// Lost reports that the dispatcher of an instance was lost while it had a job.
-	Lost(instance string)
+	MarkReachable(instance string)
+	// MarkLost reports that the dispatcher of an instance was lost while it had a job.
+	MarkLost(instance string)
 }
 
 // TargetNotices provides the rate limits and pauses that targets ask for;
@@ -55,20 +55,20 @@
 
 // Options configure a Forwarder.
 type Options struct {
-	Codec    relay.Codec
-	Exchange *exchange.Pool
-	Targets  func() *fleet.View
-	Work     Scheduler
-	Budget   *Budget
-	Loads    *Loads
-	Crashes  *crashguard.Guard
-	Cold     *allowance.Allowance // rate limits of cold targets; nil = not limited
-	Limited  *allowance.Allowance // rate limits stated by targets; nil if Asks is nil
-	Asks     TargetNotices        // nil = targets ask for no limits or pauses
-	Place    string
-	Clock    clock.Clock
-	Rand     *rand.Rand
-	Logger   *event.Logger
+	Codec        relay.Codec
+	Exchange     *exchange.Pool
+	Targets      func() *fleet.View
+	Scheduler    Scheduler
+	Budget       *RetryBudget
+	Loads        *Loads
+	CrashGuard   *crashguard.Guard
+	ColdLimits   *allowance.Allowance // rate limits of cold targets; nil = not limited
+	StatedLimits *allowance.Allowance // rate limits stated by targets; nil if Asks is nil
+	Notices      TargetNotices        // nil = targets ask for no limits or pauses
+	Zone         string
+	Clock        clock.Clock
+	Rand         *rand.Rand
+	Logger       *event.Logger
 }
 
 // Forwarder forwards requests. It is safe for concurrent use.
@@ -132,7 +132,7 @@
 	fl.readAt = f.o.Clock.Now()
 	fl.deadline = in.Arrived.Add(fl.timeout())
 	defer fl.logEnd()
-	if f.o.Crashes.Refused(fl.fingerprint()) {
+	if f.o.CrashGuard.Refused(fl.fingerprint()) {
 		fl.refuse(errkind.New(errkind.Overloaded, "targets died while running this request"), time.Second)
 		return
 	}
@@ -162,8 +162,8 @@
 // timeout, the route's timeout and maxTimeout.
 func (fl *flight) timeout() time.Duration {
 	wait := maxTimeout
-	if fl.Request.Wait > 0 {
-		wait = min(wait, fl.Request.Wait)
+	if fl.Request.Timeout > 0 {
+		wait = min(wait, fl.Request.Timeout)
 	}
 	if fl.Route.Timeout > 0 {
 		wait = min(wait, fl.Route.Timeout)
@@ -174,8 +174,8 @@
 // firstResponseDeadline returns when the caller gives up if no byte of the
 // response has arrived.
 func (fl *flight) firstResponseDeadline() time.Time {
-	if fl.Route.FirstWait > 0 {
-		if by := fl.Arrived.Add(fl.Route.FirstWait - responseMargin); by.Before(fl.deadline) {
+	if fl.Route.AbandonAfter > 0 {
+		if by := fl.Arrived.Add(fl.Route.AbandonAfter - responseMargin); by.Before(fl.deadline) {
 			return by
 		}
 	}
@@ -185,10 +185,10 @@
 // remaining returns the time left until the caller's own deadline, as it is sent
 // to targets; 0 = no deadline.
 func (fl *flight) remaining() time.Duration {
-	if fl.Request.Wait <= 0 {
+	if fl.Request.Timeout <= 0 {
 		return 0
 	}
-	return max(fl.Arrived.Add(fl.Request.Wait).Sub(fl.o.Clock.Now()), time.Millisecond)
+	return max(fl.Arrived.Add(fl.Request.Timeout).Sub(fl.o.Clock.Now()), time.Millisecond)
 }
 
 // fingerprint identifies the request independently of its id, by host, URI,
@@ -234,7 +234,7 @@
 		}
 	}
 	fl.awaitCrashCheck()
-	return !fl.o.Crashes.Refused(fl.fingerprint())
+	return !fl.o.CrashGuard.Refused(fl.fingerprint())
 }
 
 // maxTotalAttempts bounds the number of attempts when every target refuses the request.
@@ -242,7 +242,7 @@
 
 // call returns what the system adds to the request for the target.
 func (fl *flight) call(t fleet.Target, inputs []string, resumeAt string) relay.Call {
-	c := relay.Call{Target: t, Left: fl.remaining(), Inputs: inputs, Priority: -1, ResumeAt: resumeAt}
+	c := relay.Call{Target: t, Remaining: fl.remaining(), Inputs: inputs, Priority: -1, ResumeAfter: resumeAt}
 	if fl.Organisation != nil {
 		c.Organisation = fl.Organisation.Name
 	}
@@ -277,7 +277,7 @@
 
 // send makes one attempt: it sends the request to the target and returns the
 // response once its head has arrived.
-func (fl *flight) send(ctx context.Context, c relay.Call) (*exchange.Response, relay.Answer, error) {
+func (fl *flight) send(ctx context.Context, c relay.Call) (*exchange.Response, relay.ResponseHead, error) {
 	fl.attempts++
 	fl.lastTarget = c.Target.ID
 	fl.triedTargets = append(fl.triedTargets, c.Target.ID)
@@ -289,15 +289,15 @@
 		URI:     fl.Request.URI,
 		Host:    fl.Request.Host,
 		ID:      fl.Request.ID,
-		Header:  fl.o.Codec.Outgoing(fl.Request, c),
+		Header:  fl.o.Codec.OutgoingHeader(fl.Request, c),
 		Body:    fl.Request.Body,
 	})
 	if err != nil {
 		fl.newConnections = true
 		fl.logAttempt(c, 0, err)
-		return nil, relay.Answer{}, err
+		return nil, relay.ResponseHead{}, err
 	}
-	a := fl.o.Codec.Answer(&http.Response{StatusCode: resp.Status, Header: resp.Header})
+	a := fl.o.Codec.ParseResponse(&http.Response{StatusCode: resp.Status, Header: resp.Header})
 	if a.NotRun || resp.Status >= http.StatusInternalServerError {
 		fl.logAttempt(c, resp.Status, nil)
 	}
@@ -364,7 +364,7 @@
 		body = errkind.BodyOf(err, req.ID)
 	}
 	status := errkind.Of(err).Answer().Status
-	codec.Own(w.Header(), req, retryAfter)
+	codec.SetOwnHeader(w.Header(), req, retryAfter)
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	text, err := json.Marshal(body)
--- a/internal/forwarding/loads.go
+++ b/internal/forwarding/loads.go
@@ -105,7 +105,7 @@
 		busy += max(others, 0) * fresh
 	}
 	score := busy / slots
-	if t.Place != l.zone {
+	if t.Zone != l.zone {
 		score += zonePenalty
 	}
 	if slowness := k.slownessAt(now); slowness > 1.5 {
--- a/internal/forwarding/loads_test.go
+++ b/internal/forwarding/loads_test.go
@@ -18,7 +18,7 @@
 }
 
 func newLoads(t *testing.T) *loadsRig {
-	clock, one := quartz.NewMock(t).WithLogger(quartz.NoOpLogger), fleet.Target{ID: "a", Service: "s", Place: "here", Slots: 4}
+	clock, one := quartz.NewMock(t).WithLogger(quartz.NoOpLogger), fleet.Target{ID: "a", Service: "s", Zone: "here", Slots: 4}
 	two, three := one, one
 	two.ID, three.ID = "b", "c"
 	return &loadsRig{NewLoads(clock, "here", rand.New(rand.NewPCG(5, 6))), clock, []fleet.Target{one, two, three}}
@@ -68,7 +68,7 @@
 		{"loaded by other instances", func(r *loadsRig) { r.endFirst(Answered, &relay.Load{Running: 4, Waiting: 3, Slots: 4}) }, 0, 15, 40, 140},
 		{"refused", func(r *loadsRig) { r.endFirst(Refused, nil) }, 0, 15, 40, 140},
 		{"slow", (*loadsRig).slowFirst, 0, 15, 40, 140},
-		{"in another zone", func(r *loadsRig) { r.targets[0].Place = "far" }, 0, 15, 0, 15},
+		{"in another zone", func(r *loadsRig) { r.targets[0].Zone = "far" }, 0, 15, 0, 15},
 	}
 	for _, c := range cases {
 		r := newLoads(t)
--- a/internal/forwarding/log.go
+++ b/internal/forwarding/log.go
@@ -42,7 +42,7 @@
 	if fl.Route.Kind == route.Streaming {
 		took = fl.firstByteAfter
 	}
-	return fl.status/100 == 2 && fl.Route.TargetLatency > 0 && took > fl.Route.TargetLatency
+	return fl.status/100 == 2 && fl.Route.LatencyObjective > 0 && took > fl.Route.LatencyObjective
 }
 
 // maxLateLinesPerSecond limits the rate of log lines about late responses. When
--- a/internal/forwarding/log_test.go
+++ b/internal/forwarding/log_test.go
@@ -60,8 +60,8 @@
 				_, _ = io.WriteString(conn, "\n")
 			})
 			var lines bytes.Buffer
-			r.o.Logger, r.o.Work = event.NewLogger(log.NewLogfmtLogger(&lines)), slowScheduler{r.o.Work}
-			c.in.Route.TargetLatency = c.latency * time.Millisecond
+			r.o.Logger, r.o.Scheduler = event.NewLogger(log.NewLogfmtLogger(&lines)), slowScheduler{r.o.Scheduler}
+			c.in.Route.LatencyObjective = c.latency * time.Millisecond
 			arrived := time.Now()
 			time.Sleep(50 * time.Millisecond) // the body is read
 			r.callAt(t.Context(), c.in, "x", 5*time.Second, arrived)
@@ -82,7 +82,7 @@
 		var lines bytes.Buffer
 		r.o.Logger = event.NewLogger(log.NewSyncLogger(log.NewLogfmtLogger(&lines)))
 		in := inbound(route.NonIdempotent, false, false)
-		in.Route.TargetLatency = time.Millisecond
+		in.Route.LatencyObjective = time.Millisecond
 		for range 2 {
 			var callers sync.WaitGroup
 			for range 25 {
--- a/internal/forwarding/plain.go
+++ b/internal/forwarding/plain.go
@@ -78,7 +78,7 @@
 type attemptResult struct {
 	target fleet.Target
 	resp   *exchange.Response
-	head   relay.Answer
+	head   relay.ResponseHead
 	body   []byte
 	rest   io.ReadCloser // the unread rest of a response that exceeds bufferLimit
 	notRun bool
@@ -216,7 +216,7 @@
 func (fl *flight) deliver(ctx context.Context, a *attemptResult) {
 	fl.mayHaveRun = true
 	h := fl.w.Header()
-	for name, values := range fl.o.Codec.AnswerHeader(a.resp.Header) {
+	for name, values := range fl.o.Codec.ResponseHeader(a.resp.Header) {
 		h[name] = values
 	}
 	fl.status = a.resp.Status
@@ -227,7 +227,7 @@
 		fl.outcome = "caller left"
 	}
 	if a.rest == nil {
-		fl.o.Crashes.Survived(fl.fingerprint())
+		fl.o.CrashGuard.RecordSuccess(fl.fingerprint())
 		return
 	}
 	defer a.cancel()
--- a/internal/forwarding/ratelimit.go
+++ b/internal/forwarding/ratelimit.go
@@ -11,7 +11,7 @@
 // requests per second; 0 = no limit.
 func (fl *flight) coldRate() float64 {
 	s := fl.Table.Services[fl.service]
-	if s == nil || fl.o.Cold == nil {
+	if s == nil || fl.o.ColdLimits == nil {
 		return 0
 	}
 	return s.ColdRate
@@ -25,11 +25,11 @@
 	if fl.paused(t.ID) {
 		return true
 	}
-	if rate := fl.coldRate(); rate > 0 && t.Cold(fl.o.Clock.Now()) && !fl.o.Cold.May(t.ID, rate) {
+	if rate := fl.coldRate(); rate > 0 && t.Cold(fl.o.Clock.Now()) && !fl.o.ColdLimits.Allows(t.ID, rate) {
 		return true
 	}
 	rate, named := fl.limit(t.ID)
-	return named && !fl.o.Limited.May(t.ID, rate)
+	return named && !fl.o.StatedLimits.Allows(t.ID, rate)
 }
 
 // paused reports whether the target has refused requests of this instance for a
@@ -39,7 +39,7 @@
 // other that it needs for the requests it has accepted. The symptom is many
 // refusals per second from one target to one instance.
 func (fl *flight) paused(id string) bool {
-	return fl.o.Asks != nil && !fl.o.Asks.Pause(id).IsZero()
+	return fl.o.Notices != nil && !fl.o.Notices.Pause(id).IsZero()
 }
 
 // retryAfterPause returns the retry delay for a service whose targets accept no
@@ -48,11 +48,11 @@
 // pause.
 func (fl *flight) retryAfterPause() time.Duration {
 	now, next := fl.o.Clock.Now(), time.Duration(0)
-	if fl.o.Asks == nil {
+	if fl.o.Notices == nil {
 		return defaultRetryAfter
 	}
 	for _, t := range fl.o.Targets().Ready(fl.service) {
-		end := fl.o.Asks.Pause(t.ID)
+		end := fl.o.Notices.Pause(t.ID)
 		if end.IsZero() {
 			return defaultRetryAfter
 		}
@@ -66,7 +66,7 @@
 // pausedTargets returns the ids of the service's targets that have paused this
 // instance.
 func (fl *flight) pausedTargets() (ids []string) {
-	if fl.o.Asks == nil {
+	if fl.o.Notices == nil {
 		return nil
 	}
 	for _, t := range fl.o.Targets().Ready(fl.service) {
@@ -78,10 +78,10 @@
 }
 
 func (fl *flight) limit(id string) (rate float64, named bool) {
-	if fl.o.Asks == nil {
+	if fl.o.Notices == nil {
 		return 0, false
 	}
-	return fl.o.Asks.Limit(id)
+	return fl.o.Notices.Limit(id)
 }
 
 // take reports whether the request may be sent to the target now, and if so
@@ -92,7 +92,7 @@
 	if fl.paused(id) {
 		return false
 	}
-	if rate, named := fl.limit(id); named && !fl.o.Limited.Take(id, rate) {
+	if rate, named := fl.limit(id); named && !fl.o.StatedLimits.Take(id, rate) {
 		return false
 	}
 	rate := fl.coldRate()
@@ -100,7 +100,7 @@
 		return true
 	}
 	t, _ := fl.o.Targets().Get(id)
-	return !t.Cold(fl.o.Clock.Now()) || fl.o.Cold.Take(id, rate)
+	return !t.Cold(fl.o.Clock.Now()) || fl.o.ColdLimits.Take(id, rate)
 }
 
 // chooseUnlimited returns the plain target for the next attempt, without the
--- a/internal/forwarding/ratelimit_test.go
+++ b/internal/forwarding/ratelimit_test.go
@@ -55,11 +55,11 @@
 			synctest.Test(t, func(t *testing.T) {
 				r := newRig(t, 2, func(_ *memoryTarget, conn net.Conn, _ string) { _, _ = io.WriteString(conn, wholeAnswer) })
 				asks := fixedNotices{limits: make(map[string]float64), pauses: make(map[string]time.Time)}
-				r.o.Asks = asks
-				r.o.Limited = allowance.NewAllowance(allowance.Options{
-					Self: "i", Instances: func() []string { return []string{"i"} }, Clock: quartz.NewReal(), Bound: allowance.Named(),
+				r.o.Notices = asks
+				r.o.StatedLimits = allowance.NewAllowance(allowance.Options{
+					Self: "i", Instances: func() []string { return []string{"i"} }, Clock: quartz.NewReal(), Bound: allowance.Stated(),
 				})
-				time.Sleep(r.o.Limited.Span())
+				time.Sleep(r.o.StatedLimits.Span())
 				for _, id := range c.limited {
 					asks.limits[id] = 0.1
 				}
--- a/internal/forwarding/resume_test.go
+++ b/internal/forwarding/resume_test.go
@@ -45,7 +45,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				r := newRig(t, 2, breaksOffOnce(0))
-				r.Forwarder.o.Budget = NewBudget(BudgetOptions{
+				r.Forwarder.o.Budget = NewRetryBudget(RetryBudgetOptions{
 					Extra: c.extra, Window: 10 * time.Second, Instances: func() int { return 1 }, Clock: quartz.NewReal(),
 				})
 				began := time.Now()
@@ -69,7 +69,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(t, 2, breaksOffOnce(2*time.Second))
 		in := inbound(route.Streaming, true, true)
-		in.Route.FirstWait = time.Second
+		in.Route.AbandonAfter = time.Second
 		w, cut := r.call(t.Context(), in, "body", 5*time.Second)
 		if cut || w.Code != http.StatusOK || !strings.HasSuffix(w.Body.String(), "id: 1\nyes\n\n") {
 			t.Errorf("cut %v, status %d, body %q", cut, w.Code, w.Body)
--- a/internal/forwarding/rig_test.go
+++ b/internal/forwarding/rig_test.go
@@ -105,9 +105,9 @@
 	}})
 	r.Forwarder = New(Options{
 		Codec: fakeCodec{}, Exchange: exchange.New(exchange.Options{Dial: r.dial, Unacked: func(net.Conn) int { return int(r.unacked.Load()) }}), Targets: r.view.Load,
-		Work:   stagework.NewFinder(stagework.FinderOptions{Local: r.dispatcher, Members: func() []string { return nil }, Clock: clock}),
-		Budget: NewBudget(BudgetOptions{Ratio: 100, Window: time.Minute, Instances: func() int { return 1 }, Clock: clock}),
-		Loads:  NewLoads(clock, "", rand.New(rand.NewPCG(1, 2))), Crashes: r.guard, Clock: clock, Rand: rand.New(rand.NewPCG(3, 4)),
+		Scheduler: stagework.NewFinder(stagework.FinderOptions{Local: r.dispatcher, Members: func() []string { return nil }, Clock: clock}),
+		Budget:    NewRetryBudget(RetryBudgetOptions{Ratio: 100, Window: time.Minute, Instances: func() int { return 1 }, Clock: clock}),
+		Loads:     NewLoads(clock, "", rand.New(rand.NewPCG(1, 2))), CrashGuard: r.guard, Clock: clock, Rand: rand.New(rand.NewPCG(3, 4)),
 	})
 	return r
 }
@@ -161,7 +161,7 @@
 
 func (r *rig) callAt(ctx context.Context, in Inbound, body string, wait time.Duration, arrived time.Time) (w *httptest.ResponseRecorder, cut bool) {
 	request := *in.Request
-	request.Body, request.Wait = []byte(body), wait
+	request.Body, request.Timeout = []byte(body), wait
 	in.Request, in.Arrived = &request, arrived
 	w = httptest.NewRecorder()
 	defer func() {
--- a/internal/forwarding/stream.go
+++ b/internal/forwarding/stream.go
@@ -37,7 +37,7 @@
 }
 
 func newStream(fl *flight) stream {
-	return stream{fl: fl, control: http.NewResponseController(fl.w), last: fl.Request.ResumedAt}
+	return stream{fl: fl, control: http.NewResponseController(fl.w), last: fl.Request.LastEventID}
 }
 
 // begun reports whether the response head was sent to the caller.
@@ -77,7 +77,7 @@
 		return
 	}
 	h := s.fl.w.Header()
-	for name, values := range s.fl.o.Codec.AnswerHeader(resp.Header) {
+	for name, values := range s.fl.o.Codec.ResponseHeader(resp.Header) {
 		h[name] = values
 	}
 	if s.fl.Route.Resumable {
--- a/internal/forwarding/timeout_test.go
+++ b/internal/forwarding/timeout_test.go
@@ -64,7 +64,7 @@
 				r, stuck := newRig(t, 1, c.handle), &neverPlaced{}
 				r.targets["m0"].unreachable = c.unreachable
 				if c.stuck {
-					r.o.Work = stuck
+					r.o.Scheduler = stuck
 				}
 				in, began := inbound(kind, false, c.engine), time.Now()
 				in.Route.Timeout = limit
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -49,17 +49,17 @@
 
 // Member is a row of the membership list.
 type Member struct {
-	ID          string
-	Incarnation uint64
-	State       string // board.MemberState
-	CallerAddr  string
-	AdminAddr   string
-	PeerAddr    string
-	Place       string
-	Region      string
-	Room        float64
-	InFlight    int
-	Profiles    uint64
+	ID            string
+	Incarnation   uint64
+	State         string // board.MemberState
+	CallerAddr    string
+	AdminAddr     string
+	PeerAddr      string
+	Zone          string
+	Region        string
+	FreeShare     float64
+	InFlight      int
+	ConfigVersion uint64
 	// Seq increases when the load, Profiles or StoreLost of the instance change within
 	// one incarnation.
 	Seq uint64
@@ -69,9 +69,9 @@
 	// DeadFor is, for a dead member, how long it had been considered dead when the row
 	// was sent.
 	DeadFor time.Duration
-	// Fleet is, for a dead member, the number of instances that it may have known when
+	// KnownInstances is, for a dead member, the number of instances that it may have known when
 	// it died, itself included; 0 if not known.
-	Fleet int
+	KnownInstances int
 	// Capacity is the processor time available to the instance, in cores; 0 if it does
 	// not report it.
 	Capacity float64
@@ -160,8 +160,8 @@
 	Missed  uint64
 }
 
-// Part is a controller's part of the digests.
-type Part interface {
+// Participant is a controller's part of the digests.
+type Participant interface {
 	// Fill adds the controller's rows for the receiver, within budget bytes as
 	// estimated by the controller, and returns the bytes used.
 	Fill(digest *Digest, to string, budget int) int
--- a/internal/httpserver/hazards_test.go
+++ b/internal/httpserver/hazards_test.go
@@ -164,7 +164,7 @@
 	signal.Notify(signals, syscall.SIGTERM)
 	defer signal.Stop(signals)
 	proc.Setup(proc.ShutdownConf{WrapUpTime: time.Millisecond, WaitTime: 2 * time.Millisecond})
-	DisarmGoZero()
+	DisableGoZeroSignals()
 	if err := syscall.Kill(os.Getpid(), syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/httpserver/httpserver_test.go
+++ b/internal/httpserver/httpserver_test.go
@@ -45,7 +45,7 @@
 }
 
 func (b *bench) close() {
-	b.server.Kill()
+	b.server.Close()
 	b.client.CloseIdleConnections()
 }
 
--- a/internal/httpserver/server.go
+++ b/internal/httpserver/server.go
@@ -120,9 +120,9 @@
 	return s.server.Shutdown(ctx)
 }
 
-// Kill closes the listener and every connection at once, as a crash of the
+// Close closes the listener and every connection at once, as a crash of the
 // process would.
-func (s *Server) Kill() { _ = s.server.Close() }
+func (s *Server) Close() { _ = s.server.Close() }
 
 // errorLog logs the messages of the net/http server as events.
 type errorLog struct{ opts Options }
--- a/internal/httpserver/tls_test.go
+++ b/internal/httpserver/tls_test.go
@@ -28,7 +28,7 @@
 	server := New(Options{Name: "test", Listener: listener, TLS: config, Handler: http.HandlerFunc(
 		func(w http.ResponseWriter, r *http.Request) { _, _ = io.WriteString(w, r.Proto) })})
 	go func() { _ = server.Serve() }()
-	defer server.Kill()
+	defer server.Close()
 	for _, want := range []string{"HTTP/1.1", "HTTP/2.0"} {
 		protocols := new(http.Protocols)
 		protocols.SetHTTP1(want == "HTTP/1.1")
--- a/internal/ingress/bounds_test.go
+++ b/internal/ingress/bounds_test.go
@@ -41,7 +41,7 @@
 		s := &slowRig{t: t, listener: memnet.Listen(), release: make(chan struct{})}
 		table := (&route.Table{Routes: []route.Route{{Host: "h", PathPrefix: "/"}}}).Build()
 		yes := func() bool { return true }
-		s.Ingress = New(Options{Codec: fakeCodec{}, Forwarder: s, Table: func() *route.Table { return table }, Clock: quartz.NewReal(), Known: func(context.Context) Grounds { return Grounds{Sure: true} }, Serving: yes, Bounds: b})
+		s.Ingress = New(Options{Codec: fakeCodec{}, Forwarder: s, Table: func() *route.Table { return table }, Clock: quartz.NewReal(), Confirm: func(context.Context) Confirmation { return Confirmation{Current: true} }, Serving: yes, Bounds: b})
 		server := s.Server()
 		go func() { _ = server.Serve(s.CallerListener(s.listener)) }()
 		test(s)
--- a/internal/ingress/connections.go
+++ b/internal/ingress/connections.go
@@ -279,7 +279,7 @@
 // encodeFullResponse returns the response to a rejected connection as bytes.
 func (g *Ingress) encodeFullResponse() []byte {
 	header := make(http.Header)
-	g.o.Codec.Own(header, nil, fullRetryAfter)
+	g.o.Codec.SetOwnHeader(header, nil, fullRetryAfter)
 	header.Set("Connection", "close")
 	header.Set("Content-Length", "0")
 	var b bytes.Buffer
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -56,31 +56,31 @@
 	Forwarder Forwarder
 	// Table returns the routes in force, nil until some are known.
 	Table func() *route.Table
-	// Known returns whether the routes in force are confirmed to be current. It is
+	// Confirm returns whether the routes in force are confirmed to be current. It is
 	// called before a request is refused because its route or key is unknown. It may
 	// take a short time to get a confirmation, after which Table may return a newer
 	// table.
-	Known func(ctx context.Context) Grounds
+	Confirm func(ctx context.Context) Confirmation
 	// Serving reports whether the instance serves requests at all.
 	Serving func() bool
 	// Addresses returns the addresses for a caller in the availability zone.
 	Addresses func(zone string) []string
 	// AddressTTL returns how long a caller may cache the addresses.
 	AddressTTL func() time.Duration
-	// TakeAfterStop is how long new requests are still accepted after Stop.
-	TakeAfterStop time.Duration
-	Bounds        Bounds            // see SetBounds
-	Metrics       *metrics.Registry // nil = no metrics
-	Clock         clock.Clock
-	Logger        *event.Logger
+	// AcceptAfterStop is how long new requests are still accepted after Stop.
+	AcceptAfterStop time.Duration
+	Bounds          Bounds            // see SetBounds
+	Metrics         *metrics.Registry // nil = no metrics
+	Clock           clock.Clock
+	Logger          *event.Logger
 }
 
-// Grounds is the confirmation state of the routes in force. It decides whether a
+// Confirmation is the confirmation state of the routes in force. It decides whether a
 // request may be refused because its route or key is unknown.
-type Grounds struct {
-	// Sure reports whether the routes in force include every change that has to be
+type Confirmation struct {
+	// Current reports whether the routes in force include every change that has to be
 	// in force by now.
-	Sure bool
+	Current bool
 	// Age is the age of the newest confirmation by the store that the routes are in
 	// force. Source is the source from which this instance got it.
 	Age    time.Duration
@@ -195,8 +195,8 @@
 	g.stopping.CompareAndSwap(nil, &began)
 }
 
-// Cut cancels the requests in flight.
-func (g *Ingress) Cut() { g.cancel() }
+// CancelRequests cancels the requests in flight.
+func (g *Ingress) CancelRequests() { g.cancel() }
 
 // InFlight returns the number of requests whose response is not complete.
 func (g *Ingress) InFlight() int { return int(g.inFlight.Load()) }
@@ -207,7 +207,7 @@
 // closed reports whether new requests are refused because the instance is stopping.
 func (g *Ingress) closed() bool {
 	since := g.stopping.Load()
-	return since != nil && g.o.Clock.Now().Sub(*since) > g.o.TakeAfterStop
+	return since != nil && g.o.Clock.Now().Sub(*since) > g.o.AcceptAfterStop
 }
 
 // serveReady answers the readiness check.
@@ -226,7 +226,7 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	kind, body := g.o.Codec.Addresses(addresses, g.o.AddressTTL())
+	kind, body := g.o.Codec.EncodeAddresses(addresses, g.o.AddressTTL())
 	w.Header().Set("Content-Type", kind)
 	_, _ = w.Write(body)
 }
@@ -260,7 +260,7 @@
 func (g *Ingress) admit(w http.ResponseWriter, r *http.Request, reserved *reservation) (forwarding.Inbound, error) {
 	var in forwarding.Inbound
 	table := g.o.Table()
-	req, err := g.o.Codec.Request(r)
+	req, err := g.o.Codec.ParseRequest(r)
 	if err != nil {
 		return in, errkind.Wrap(err, errkind.BadRequest, "request")
 	}
@@ -284,7 +284,7 @@
 	if err = match(&in); err == nil {
 		return in, nil
 	}
-	known := g.o.Known(r.Context())
+	known := g.o.Confirm(r.Context())
 	if newer := g.o.Table(); newer != table {
 		in.Table = newer
 		err = match(&in)
@@ -300,10 +300,10 @@
 	if in.Route = in.Table.Match(in.Request.Host, in.Request.Path); in.Route == nil {
 		return errNoRoute
 	}
-	if !in.Table.Keyed() {
+	if !in.Table.KeysRequired() {
 		return nil
 	}
-	in.Organisation = in.Table.Holder(in.Request.Key)
+	in.Organisation = in.Table.OrganisationByKey(in.Request.Key)
 	if in.Organisation == nil && !in.Route.Anonymous {
 		return errNoKey
 	}
@@ -319,8 +319,8 @@
 // unknown returns the error for a route or key that the routes in force do not
 // contain. If the instance may have missed a change, the error is not final but asks
 // the caller to retry: after a final one the caller would not come again.
-func (g *Ingress) unknown(in forwarding.Inbound, known Grounds, err error) error {
-	if !known.Sure {
+func (g *Ingress) unknown(in forwarding.Inbound, known Confirmation, err error) error {
+	if !known.Current {
 		err = errkind.WithRetryAfter(errkind.New(errkind.Isolated, "%v here, but the configuration may be old", err), unknownRetryAfter)
 	}
 	g.o.Logger.Log(event.IngressUnknown, "request", in.Request.ID, "kind", errkind.Of(err), "host", in.Request.Host,
--- a/internal/ingress/ingress_test.go
+++ b/internal/ingress/ingress_test.go
@@ -21,11 +21,11 @@
 // fakeCodec is a codec with X-* headers.
 type fakeCodec struct{ relay.Codec }
 
-func (fakeCodec) Request(r *http.Request) (*relay.Request, error) {
+func (fakeCodec) ParseRequest(r *http.Request) (*relay.Request, error) {
 	return &relay.Request{ID: r.Header.Get("X-Id"), Key: r.Header.Get("X-Key"), Method: r.Method, Host: r.Host, URI: r.RequestURI, Path: r.URL.Path}, nil
 }
 
-func (fakeCodec) Own(h http.Header, _ *relay.Request, after time.Duration) {
+func (fakeCodec) SetOwnHeader(h http.Header, _ *relay.Request, after time.Duration) {
 	h.Set("X-After", after.String())
 }
 
@@ -79,7 +79,9 @@
 			}).Build()}
 			r.Ingress = New(Options{
 				Codec: fakeCodec{}, Forwarder: r, Table: func() *route.Table { return r.table }, Clock: clock,
-				Known: func(context.Context) Grounds { return Grounds{Sure: r.confirmed, Age: time.Second, Source: "store"} }, Serving: func() bool { return r.serving }, TakeAfterStop: 2 * time.Second,
+				Confirm: func(context.Context) Confirmation {
+					return Confirmation{Current: r.confirmed, Age: time.Second, Source: "store"}
+				}, Serving: func() bool { return r.serving }, AcceptAfterStop: 2 * time.Second,
 			})
 			if c.change != nil {
 				c.change(r)
@@ -123,7 +125,9 @@
 		lines.Reset()
 		g := New(Options{
 			Codec: fakeCodec{}, Clock: quartz.NewReal(), Table: func() *route.Table { return table }, Serving: func() bool { return true },
-			Known:  func(context.Context) Grounds { return Grounds{Sure: sure, Age: 1500 * time.Millisecond, Source: "i-3"} },
+			Confirm: func(context.Context) Confirmation {
+				return Confirmation{Current: sure, Age: 1500 * time.Millisecond, Source: "i-3"}
+			},
 			Logger: event.NewLogger(log.NewLogfmtLogger(&lines)),
 		})
 		g.Server().Handler.ServeHTTP(httptest.NewRecorder(), httptest.NewRequest("GET", "http://h/new/x", nil))
@@ -141,9 +145,9 @@
 	r := &admissionRig{serving: true, clock: quartz.NewMock(t).WithLogger(quartz.NoOpLogger), table: (&route.Table{Version: 1}).Build()}
 	r.Ingress = New(Options{
 		Codec: fakeCodec{}, Forwarder: r, Table: func() *route.Table { return r.table }, Clock: r.clock, Serving: func() bool { return true },
-		Known: func(context.Context) Grounds {
+		Confirm: func(context.Context) Confirmation {
 			r.table = (&route.Table{Version: 2, Routes: []route.Route{{Host: "h", PathPrefix: "/new/"}}}).Build()
-			return Grounds{Sure: true}
+			return Confirmation{Current: true}
 		},
 	})
 	w := httptest.NewRecorder()
--- a/internal/ingress/metrics.go
+++ b/internal/ingress/metrics.go
@@ -37,7 +37,7 @@
 	r.Func(metricTimes, func() any {
 		values := make(map[string]int64)
 		for _, kind := range kinds {
-			g.times[kind].Into(values, kind.String())
+			g.times[kind].SetValues(values, kind.String())
 		}
 		return values
 	})
--- a/internal/ingress/telemetry/telemetry.go
+++ b/internal/ingress/telemetry/telemetry.go
@@ -69,10 +69,10 @@
 	h.sumUS.Add(d.Microseconds())
 }
 
-// Into sets the values of a labelled metric: label,le=N is the number of durations of
+// SetValues sets the values of a labelled metric: label,le=N is the number of durations of
 // at most N milliseconds, label,le=all the number of all durations, and label,sum_ms
 // their sum in milliseconds.
-func (h *Histogram) Into(values map[string]int64, label string) {
+func (h *Histogram) SetValues(values map[string]int64, label string) {
 	var count int64
 	for n, limit := range bucketBounds {
 		count += h.buckets[n].Load()
--- a/internal/ingress/telemetry/telemetry_test.go
+++ b/internal/ingress/telemetry/telemetry_test.go
@@ -22,7 +22,7 @@
 	}
 	r.Func(d[3], func() any {
 		v := make(map[string]int64)
-		h.Into(v, "x")
+		h.SetValues(v, "x")
 		return map[string]int64{"a": v["x,le=5"], "b": v["x,le=10"], "c": v["x,le=10000"], "d": v["x,le=all"], "e": v["x,sum_ms"]}
 	})
 	w := httptest.NewRecorder()
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -17,18 +17,18 @@
 	OneDelivery         Rule = "one_delivery"          // a request is delivered once
 	OffsetsContiguous   Rule = "offsets_contiguous"    // frames reach the caller without gaps or duplicates
 	ClaimBeforeDispatch Rule = "claim_before_dispatch" // a stage that is not idempotent is dispatched under a claim
-	RunStateTrue        Rule = "run_state_true"        // the state not_run is reported only if nothing was dispatched
+	RunStateCorrect     Rule = "run_state_true"        // the state not_run is reported only if nothing was dispatched
 	NoLeavingDispatch   Rule = "no_leaving_dispatch"   // a leaving target gets no work after the grace period
-	VersionsRise        Rule = "versions_rise"         // a profile never goes back to a lower version
-	OneOrderGiver       Rule = "one_order_giver"       // an instance gives orders only while it holds its lease
+	VersionsIncrease    Rule = "versions_rise"         // a profile never goes back to a lower version
+	OrdersUnderLease    Rule = "one_order_giver"       // an instance gives orders only while it holds its lease
 	LastReadyKept       Rule = "last_ready_kept"       // the last ready target of a model is not removed
 	OwnAnswer           Rule = "own_answer"            // an answer carries the IDs of its request and attempt
 )
 
 // Recorder receives each violation.
 type Recorder interface {
-	// Violated records one violation of rule.
-	Violated(rule Rule, detail string)
+	// RecordViolation records one violation of rule.
+	RecordViolation(rule Rule, detail string)
 }
 
 // Checker checks invariants. A nil Checker records nothing.
@@ -45,7 +45,7 @@
 	if ok || c == nil {
 		return ok
 	}
-	c.recorder.Violated(rule, fmt.Sprintf(format, args...))
+	c.recorder.RecordViolation(rule, fmt.Sprintf(format, args...))
 	return false
 }
 
@@ -61,8 +61,8 @@
 	Detail string
 }
 
-// Violated implements Recorder.
-func (c *Collector) Violated(rule Rule, detail string) {
+// RecordViolation implements Recorder.
+func (c *Collector) RecordViolation(rule Rule, detail string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.violations = append(c.violations, Violation{Rule: rule, Detail: detail})
--- a/internal/invariant/production.go
+++ b/internal/invariant/production.go
@@ -43,8 +43,8 @@
 	return &Production{clock: clk, logger: logger, metrics: registry, last: make(map[Rule]logState)}
 }
 
-// Violated implements Recorder.
-func (p *Production) Violated(rule Rule, detail string) {
+// RecordViolation implements Recorder.
+func (p *Production) RecordViolation(rule Rule, detail string) {
 	p.metrics.Labelled(metricViolations).Add(string(rule), 1)
 	skipped, log := p.mayLog(rule)
 	if log {
@@ -71,7 +71,7 @@
 // Panic is a Recorder for tests that panics at the first violation.
 type Panic struct{}
 
-// Violated implements Recorder.
-func (Panic) Violated(rule Rule, detail string) {
+// RecordViolation implements Recorder.
+func (Panic) RecordViolation(rule Rule, detail string) {
 	panic("invariant " + string(rule) + " violated: " + detail)
 }
--- a/internal/invariant/production_test.go
+++ b/internal/invariant/production_test.go
@@ -22,7 +22,7 @@
 		for range 100 {
 			check.Check(false, OwnAnswer, "detail")
 		}
-		check.Check(false, RunStateTrue, "other rule")
+		check.Check(false, RunStateCorrect, "other rule")
 		time.Sleep(logInterval)
 		check.Check(false, OwnAnswer, "detail")
 		if got := strings.Count(out.String(), "\n"); got != 3 {
--- a/internal/logsink/logsink.go
+++ b/internal/logsink/logsink.go
@@ -49,10 +49,10 @@
 	Bytes int // maximum size of the buffered lines
 	Rate  int // average bytes per second above which debug and info lines are dropped
 	Burst int // bytes that may arrive at once without exceeding the rate
-	// Notes returns the logger for the lines that report how many lines were
+	// DropReports returns the logger for the lines that report how many lines were
 	// dropped; it uses the format of the log and does not filter levels. If Notes
 	// is nil, dropped lines are not reported.
-	Notes func(io.Writer) *event.Logger
+	DropReports func(io.Writer) *event.Logger
 }
 
 // dropCounts counts dropped lines by reason. first is the time of the first.
@@ -101,8 +101,8 @@
 		ring:    newRing(orDefault(o.Bytes, DefaultBytes)),
 		limiter: rate.NewLimiter(rate.Limit(orDefault(o.Rate, DefaultRate)), orDefault(o.Burst, DefaultBurst)),
 	}
-	if o.Notes != nil {
-		s.notes = o.Notes(&s.note)
+	if o.DropReports != nil {
+		s.notes = o.DropReports(&s.note)
 	}
 	go s.drain()
 	return s
--- a/internal/logsink/logsink_test.go
+++ b/internal/logsink/logsink_test.go
@@ -95,7 +95,7 @@
 func TestLinesAreWrittenInOrderWithoutFlush(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		out := new(record)
-		s := New(out, Options{Notes: logfmtNotes})
+		s := New(out, Options{DropReports: logfmtNotes})
 		defer s.Close()
 		for n := range 2000 { // more bytes than fit into scratch
 			put(t, s, line("info", n))
@@ -114,7 +114,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		const each, room = 27, 100
 		reader, writer := io.Pipe()
-		s := New(writer, Options{Bytes: room * each, Notes: logfmtNotes})
+		s := New(writer, Options{Bytes: room * each, DropReports: logfmtNotes})
 		defer s.Close()
 		put(t, s, line("error", 0)) // the output blocks in this one
 		synctest.Wait()
@@ -155,7 +155,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				out := new(record)
-				s := New(out, Options{Rate: 1000, Burst: 10 * len(format("info", 0)), Notes: logfmtNotes})
+				s := New(out, Options{Rate: 1000, Burst: 10 * len(format("info", 0)), DropReports: logfmtNotes})
 				defer s.Close()
 				for range 40 {
 					put(t, s, format("info", 0))
@@ -204,7 +204,7 @@
 func TestNotesAreLimitedToOneASecond(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		out := new(record)
-		s := New(out, Options{Rate: 1, Burst: 1, Notes: logfmtNotes})
+		s := New(out, Options{Rate: 1, Burst: 1, DropReports: logfmtNotes})
 		defer s.Close()
 		for range 300 {
 			put(t, s, line("info", 0))
@@ -221,7 +221,7 @@
 func TestFlushWritesAllAndTheCountAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		out := new(record)
-		s := New(out, Options{Burst: 27 * 3, Notes: logfmtNotes})
+		s := New(out, Options{Burst: 27 * 3, DropReports: logfmtNotes})
 		defer s.Close()
 		for n := range 5 {
 			put(t, s, line("info", n))
@@ -256,7 +256,7 @@
 func TestFailedWritesAreCountedWithoutCausingMoreWrites(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		out := new(record)
-		s := New(out, Options{Notes: logfmtNotes})
+		s := New(out, Options{DropReports: logfmtNotes})
 		defer s.Close()
 		out.fail(os.ErrClosed)
 		put(t, s, line("info", 0))
@@ -280,7 +280,7 @@
 func TestLongLinesStayWholeOrAreCounted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		out := new(record)
-		s := New(out, Options{Bytes: 4 * chunkBytes, Notes: logfmtNotes})
+		s := New(out, Options{Bytes: 4 * chunkBytes, DropReports: logfmtNotes})
 		defer s.Close()
 		long := "level=error stack=" + strings.Repeat("x", 3*chunkBytes) + "\n"
 		put(t, s, line("info", 0))
@@ -319,7 +319,7 @@
 
 func TestManyWritersAtOnce(t *testing.T) {
 	out := new(record)
-	s := New(out, Options{Bytes: 4 << 10, Notes: logfmtNotes})
+	s := New(out, Options{Bytes: 4 << 10, DropReports: logfmtNotes})
 	defer s.Close()
 	const writers, each = 8, 1000
 	var group sync.WaitGroup
--- a/internal/membership/contact.go
+++ b/internal/membership/contact.go
@@ -94,7 +94,7 @@
 		unmet = found
 		wait := min(interval, m.o.ListEvery)
 		interval = min(2*interval, m.o.ListEvery)
-		if !loop.Sleep(ctx, m.o.Clock, m.rand.Spread(wait, listJitter)) {
+		if !loop.Sleep(ctx, m.o.Clock, m.rand.Jitter(wait, listJitter)) {
 			return
 		}
 	}
@@ -119,7 +119,7 @@
 	if m.o.Lister == nil {
 		return 0
 	}
-	listed, err := m.o.Lister.Instances(store.WithOld(store.WithPriority(ctx, store.PriorityBackground)))
+	listed, err := m.o.Lister.Instances(store.AllowStale(store.WithPriority(ctx, store.PriorityBackground)))
 	if err != nil {
 		return 0
 	}
@@ -220,7 +220,7 @@
 			retry = initialListInterval
 			m.registeredAt.Store(max(int64(m.o.Boot.SinceBoot()), 1))
 		}
-		if !loop.SleepOr(ctx, m.o.Clock, m.rand.Spread(wait, listJitter), unlisted) {
+		if !loop.SleepOr(ctx, m.o.Clock, m.rand.Jitter(wait, listJitter), unlisted) {
 			return
 		}
 	}
@@ -238,7 +238,7 @@
 		Kind:    "lynxhill",
 		Address: self.CallerAddr,
 		Peer:    self.PeerAddr,
-		Place:   self.Place,
+		Zone:    self.Zone,
 		Region:  self.Region,
 		State:   state,
 
--- a/internal/membership/dead.go
+++ b/internal/membership/dead.go
@@ -47,7 +47,7 @@
 // markDead marks a member as dead. The caller holds mu.
 func (v *view) markDead(r *row, left bool, now time.Time) {
 	r.member.Left = left
-	r.member.Fleet = v.fleetSize()
+	r.member.KnownInstances = v.fleetSize()
 	v.setState(r, board.MemberDead, now)
 }
 
@@ -75,7 +75,7 @@
 func (v *view) mergeDead(old *row, in gossip.Member, now time.Time) {
 	since := now.Add(-in.DeadFor)
 	earlier := since.Before(old.changed)
-	fewer := in.Fleet > 0 && (old.member.Fleet == 0 || in.Fleet < old.member.Fleet)
+	fewer := in.KnownInstances > 0 && (old.member.KnownInstances == 0 || in.KnownInstances < old.member.KnownInstances)
 	if !earlier && !fewer && (!in.Left || old.member.Left) {
 		return
 	}
@@ -83,7 +83,7 @@
 		old.changed = since
 	}
 	if fewer {
-		old.member.Fleet = in.Fleet
+		old.member.KnownInstances = in.KnownInstances
 	}
 	old.member.Left = old.member.Left || in.Left
 	v.publish(old)
--- a/internal/membership/dead_test.go
+++ b/internal/membership/dead_test.go
@@ -64,7 +64,7 @@
 		if n := f.countKnowing(append(upTo(6), 8), 7); n != 7 {
 			f.t.Errorf("%d of 7 have the dead member after 86 min", n)
 		}
-		if m, _ := f.instances[8].board.Members.Get(f.instances[7].id); m.Fleet != 7 || m.State != board.MemberDead {
+		if m, _ := f.instances[8].board.Members.Get(f.instances[7].id); m.KnownInstances != 7 || m.State != board.MemberDead {
 			f.t.Errorf("the new instance has %+v", m)
 		}
 		time.Sleep(7 * time.Minute)
--- a/internal/membership/digest.go
+++ b/internal/membership/digest.go
@@ -37,11 +37,11 @@
 	if m.Light() {
 		return lightRowBytes + len(m.ID)
 	}
-	return fullRowBytes + len(m.ID) + len(m.CallerAddr) + len(m.AdminAddr) + len(m.PeerAddr) + len(m.Place) + len(m.Region)
+	return fullRowBytes + len(m.ID) + len(m.CallerAddr) + len(m.AdminAddr) + len(m.PeerAddr) + len(m.Zone) + len(m.Region)
 }
 
 func lightRow(m gossip.Member) gossip.Member {
-	m.CallerAddr, m.AdminAddr, m.PeerAddr, m.Place, m.Region = "", "", "", "", ""
+	m.CallerAddr, m.AdminAddr, m.PeerAddr, m.Zone, m.Region = "", "", "", "", ""
 	m.Capacity = 0
 	return m
 }
@@ -222,23 +222,23 @@
 // partList is the list of the parts of the other controllers.
 type partList struct {
 	mu    sync.RWMutex // guards parts
-	parts []gossip.Part
+	parts []gossip.Participant
 }
 
-func (l *partList) add(p gossip.Part) {
+func (l *partList) add(p gossip.Participant) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.parts = append(l.parts, p)
 }
 
-func (l *partList) all() []gossip.Part {
+func (l *partList) all() []gossip.Participant {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
-	return append([]gossip.Part(nil), l.parts...)
+	return append([]gossip.Participant(nil), l.parts...)
 }
 
 // AddPart adds a controller's part to all later exchanges.
-func (m *Manager) AddPart(p gossip.Part) { m.parts.add(p) }
+func (m *Manager) AddPart(p gossip.Participant) { m.parts.add(p) }
 
 // compose creates a digest for a member within budget bytes. remoteSums are the
 // receiver's checksums if they are known.
--- a/internal/membership/eager.go
+++ b/internal/membership/eager.go
@@ -45,9 +45,9 @@
 	}
 }
 
-// Hurry starts extra exchanges at once, for urgent rows that should not wait for the
+// RequestExchanges starts extra exchanges at once, for urgent rows that should not wait for the
 // next heartbeats. It does not block.
-func (m *Manager) Hurry() { m.spreadNow.Notify() }
+func (m *Manager) RequestExchanges() { m.spreadNow.Notify() }
 
 // spread exchanges small digests with EagerFanout random members at once.
 func (m *Manager) spread(ctx context.Context) {
--- a/internal/membership/fleet_test.go
+++ b/internal/membership/fleet_test.go
@@ -101,7 +101,7 @@
 	o.Rand = rand.New(rand.NewPCG(7, uint64(i)))
 	o.Transport = f.net.Client(n.addr, nil)
 	n.manager = membership.New(o)
-	f.net.Join(n.addr, mempeer.Node{Handle: n.manager.Handle})
+	f.net.Join(n.addr, mempeer.Instance{Handle: n.manager.HandleExchange})
 	ctx, cancel := context.WithCancel(context.Background())
 	n.stop = cancel
 	f.wg.Go(func() { n.manager.Run(ctx) })
@@ -209,7 +209,7 @@
 			}
 			for range 3 {
 				lost.Store(!lost.Load())
-				f.instances[1].manager.Hurry()
+				f.instances[1].manager.RequestExchanges()
 				f.until(3*time.Second, "all are informed", allInformed)
 			}
 		})
--- a/internal/membership/heartbeat.go
+++ b/internal/membership/heartbeat.go
@@ -27,7 +27,7 @@
 	defer wg.Wait()
 	last := m.o.Clock.Now()
 	for {
-		if !loop.Sleep(ctx, m.o.Clock, m.rand.Spread(m.o.HeartbeatEvery, heartbeatJitter)) {
+		if !loop.Sleep(ctx, m.o.Clock, m.rand.Jitter(m.o.HeartbeatEvery, heartbeatJitter)) {
 			return
 		}
 		now := m.o.Clock.Now()
@@ -194,7 +194,7 @@
 	switch board.MemberState(r.member.State) {
 	case board.MemberAlive:
 		v.setState(r, board.MemberSuspect, now)
-		m.Hurry()
+		m.RequestExchanges()
 		m.o.Logger.Log(event.MembershipSuspect, "instance", member.ID)
 	case board.MemberLeaving:
 		v.markDead(r, true, now)
--- a/internal/membership/listed.go
+++ b/internal/membership/listed.go
@@ -54,7 +54,7 @@
 		v.assumed[in.ID] = now.Add(assumedAliveFor)
 		v.board.Members.Put(in.ID, board.Member{
 			ID: in.ID, State: board.MemberAlive, CallerAddr: in.Address, PeerAddr: in.Peer,
-			Place: in.Place, Region: in.Region, Room: 1, Capacity: in.Capacity, Changed: now,
+			Zone: in.Zone, Region: in.Region, FreeShare: 1, Capacity: in.Capacity, Changed: now,
 		})
 	}
 }
--- a/internal/membership/manager.go
+++ b/internal/membership/manager.go
@@ -23,9 +23,9 @@
 		CallerAddr:  o.Self.CallerAddr,
 		AdminAddr:   o.Self.AdminAddr,
 		PeerAddr:    o.Self.PeerAddr,
-		Place:       o.Self.Place,
+		Zone:        o.Self.Zone,
 		Region:      o.Self.Region,
-		Room:        1,
+		FreeShare:   1,
 		Capacity:    o.Self.Capacity,
 	}
 	m := &Manager{
@@ -52,8 +52,8 @@
 	wg.Wait()
 }
 
-// Handle serves an exchange that another instance started.
-func (m *Manager) Handle(_ context.Context, d gossip.Digest) gossip.Digest {
+// HandleExchange serves an exchange that another instance started.
+func (m *Manager) HandleExchange(_ context.Context, d gossip.Digest) gossip.Digest {
 	d.Transit = 0
 	m.absorb(d, m.o.Clock.Now())
 	return m.compose(d.From, d.Sums, m.budget())
@@ -69,10 +69,10 @@
 	return m.o.Boot.SinceBoot() - time.Duration(heard)
 }
 
-// KnownFor returns how long ago, by the boot clock, this instance first learned
+// MembersKnownFor returns how long ago, by the boot clock, this instance first learned
 // who the members are, from the instance list or from a digest of another
 // instance; 0 if it has not yet.
-func (m *Manager) KnownFor() time.Duration {
+func (m *Manager) MembersKnownFor() time.Duration {
 	known := m.membersKnownAt.Load()
 	if known == 0 {
 		return 0
@@ -113,11 +113,11 @@
 	defer v.mu.Unlock()
 	self := v.rows[v.self]
 	interval := max(m.o.HeartbeatEvery, time.Duration(len(v.rows))*loadIntervalPerMember)
-	if math.Abs(self.member.Room-room) < minRoomChange || now.Sub(v.loadSent) < interval {
+	if math.Abs(self.member.FreeShare-room) < minRoomChange || now.Sub(v.loadSent) < interval {
 		return
 	}
 	v.loadSent = now
-	self.member.Room, self.member.InFlight = room, inFlight
+	self.member.FreeShare, self.member.InFlight = room, inFlight
 	self.member.Seq++
 	v.enqueue(self, urgencyLoad, false, now)
 }
@@ -130,10 +130,10 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	self := v.rows[v.self]
-	if row.Mark <= self.member.Profiles {
+	if row.ConfigVersion <= self.member.ConfigVersion {
 		return false
 	}
-	self.member.Profiles = row.Mark
+	self.member.ConfigVersion = row.ConfigVersion
 	self.member.Seq++
 	v.enqueue(self, urgencyConfig, false, m.o.Clock.Now())
 	return true
--- a/internal/membership/options.go
+++ b/internal/membership/options.go
@@ -57,7 +57,7 @@
 	// that the Lister returns, while no other member is known to be alive. It is
 	// called for each attempt, since the addresses may change. nil: none.
 	Seeds func() []string
-	Parts []gossip.Part
+	Parts []gossip.Participant
 	// StoreLost reports whether this instance's calls of the store are failing.
 	// Digests carry the result. nil: never reported.
 	StoreLost func() bool
--- a/internal/membership/partners.go
+++ b/internal/membership/partners.go
@@ -59,7 +59,7 @@
 // partners returns the members that receive heartbeats.
 func (m *Manager) partners() (sameZone, otherZones []string) {
 	for _, id := range m.view.ids(board.MemberAlive, board.MemberSuspect, board.MemberLeaving) {
-		if member, ok := m.view.get(id); ok && member.Place == m.o.Self.Place {
+		if member, ok := m.view.get(id); ok && member.Zone == m.o.Self.Zone {
 			sameZone = append(sameZone, id)
 		} else {
 			otherZones = append(otherZones, id)
--- a/internal/membership/partners_test.go
+++ b/internal/membership/partners_test.go
@@ -14,12 +14,12 @@
 // newManagerWithMembers returns the manager of one of n instances in four zones.
 func newManagerWithMembers(n int) *Manager {
 	m := New(Options{
-		Self: board.Member{ID: "self", Place: "p0"}, Board: board.New(), Clock: quartz.NewReal(),
+		Self: board.Member{ID: "self", Zone: "p0"}, Board: board.New(), Clock: quartz.NewReal(),
 		Rand: rand.New(rand.NewPCG(3, uint64(n))),
 	})
 	var rows []gossip.Member
 	for i := 1; i < n; i++ {
-		rows = append(rows, gossip.Member{ID: fmt.Sprintf("i%03d", i), State: "alive", PeerAddr: "a", Place: fmt.Sprintf("p%d", i%4)})
+		rows = append(rows, gossip.Member{ID: fmt.Sprintf("i%03d", i), State: "alive", PeerAddr: "a", Zone: fmt.Sprintf("p%d", i%4)})
 	}
 	m.view.merge(rows, m.o.Clock.Now())
 	return m
@@ -42,7 +42,7 @@
 				continue
 			}
 			reached[id]++
-			if member, _ := m.view.get(id); member.Place == "p0" {
+			if member, _ := m.view.get(id); member.Zone == "p0" {
 				sameZone++
 			}
 		}
--- a/internal/membership/reported_death_test.go
+++ b/internal/membership/reported_death_test.go
@@ -16,9 +16,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		m := newManagerWithMembers(8)
 		now := m.o.Clock.Now()
-		m.view.merge([]gossip.Member{{ID: "i003", State: string(board.MemberDead), DeadFor: time.Hour, Left: true, Fleet: 2}}, now)
+		m.view.merge([]gossip.Member{{ID: "i003", State: string(board.MemberDead), DeadFor: time.Hour, Left: true, KnownInstances: 2}}, now)
 		row, _ := m.view.get("i003")
-		if row.State != string(board.MemberSuspect) || row.Left || row.Fleet != 0 {
+		if row.State != string(board.MemberSuspect) || row.Left || row.KnownInstances != 0 {
 			t.Errorf("merged as %+v", row)
 		}
 		if n := len(m.expiredSuspects(now.Add(m.o.SuspectAfter / 2))); n != 0 {
--- a/internal/membership/seeds_test.go
+++ b/internal/membership/seeds_test.go
@@ -19,7 +19,7 @@
 		time.Sleep(time.Minute)
 		f.add()
 		time.Sleep(time.Minute)
-		if f.agree(upTo(5)) || f.instances[4].manager.KnownFor() != 0 || f.instances[0].manager.KnownFor() < 2*time.Minute {
+		if f.agree(upTo(5)) || f.instances[4].manager.MembersKnownFor() != 0 || f.instances[0].manager.MembersKnownFor() < 2*time.Minute {
 			t.Fatal("joined without list and seeds, or KnownFor is wrong")
 		}
 		seeds.Store(&[]string{"10.0.0.0:7300", "10.9.9.9:7300", "10.0.0.4:7300"}) // a live instance, an unused address, the instance itself
--- a/internal/membership/sums.go
+++ b/internal/membership/sums.go
@@ -44,9 +44,9 @@
 // it has lost the store.
 func configSum(m gossip.Member) uint32 {
 	if m.StoreLost {
-		return mix(xxhash.Sum64String(m.ID), m.Profiles, 1)
+		return mix(xxhash.Sum64String(m.ID), m.ConfigVersion, 1)
 	}
-	return mix(xxhash.Sum64String(m.ID), m.Profiles)
+	return mix(xxhash.Sum64String(m.ID), m.ConfigVersion)
 }
 
 func bucketOf(id string) int { return int(xxhash.Sum64String(id) % sumBuckets) }
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -99,22 +99,22 @@
 	m := r.member
 	v.markMet(m.ID)
 	v.board.Members.Put(m.ID, board.Member{
-		ID:          m.ID,
-		Incarnation: m.Incarnation,
-		State:       board.MemberState(m.State),
-		CallerAddr:  m.CallerAddr,
-		AdminAddr:   m.AdminAddr,
-		PeerAddr:    m.PeerAddr,
-		Place:       m.Place,
-		Region:      m.Region,
-		Room:        m.Room,
-		InFlight:    m.InFlight,
-		Profiles:    m.Profiles,
-		Changed:     r.changed,
-		Left:        r.hasLeft(),
-		Fleet:       m.Fleet,
-		Capacity:    m.Capacity,
-		StoreLost:   m.StoreLost,
+		ID:             m.ID,
+		Incarnation:    m.Incarnation,
+		State:          board.MemberState(m.State),
+		CallerAddr:     m.CallerAddr,
+		AdminAddr:      m.AdminAddr,
+		PeerAddr:       m.PeerAddr,
+		Zone:           m.Zone,
+		Region:         m.Region,
+		FreeShare:      m.FreeShare,
+		InFlight:       m.InFlight,
+		ConfigVersion:  m.ConfigVersion,
+		Changed:        r.changed,
+		Left:           r.hasLeft(),
+		KnownInstances: m.KnownInstances,
+		Capacity:       m.Capacity,
+		StoreLost:      m.StoreLost,
 	})
 }
 
@@ -174,7 +174,7 @@
 		return in
 	}
 	in.State = string(board.MemberSuspect)
-	in.DeadFor, in.Left, in.Fleet = 0, false, 0 // the suspicion starts now
+	in.DeadFor, in.Left, in.KnownInstances = 0, false, 0 // the suspicion starts now
 	return in
 }
 
@@ -225,11 +225,11 @@
 
 func keepAddresses(in *gossip.Member, old gossip.Member) {
 	in.CallerAddr, in.AdminAddr, in.PeerAddr = old.CallerAddr, old.AdminAddr, old.PeerAddr
-	in.Place, in.Region, in.Capacity = old.Place, old.Region, old.Capacity
+	in.Zone, in.Region, in.Capacity = old.Zone, old.Region, old.Capacity
 }
 
 func keepLoad(in *gossip.Member, old gossip.Member) {
-	in.Room, in.InFlight, in.Profiles, in.StoreLost, in.Seq = old.Room, old.InFlight, old.Profiles, old.StoreLost, old.Seq
+	in.FreeShare, in.InFlight, in.ConfigVersion, in.StoreLost, in.Seq = old.FreeShare, old.InFlight, old.ConfigVersion, old.StoreLost, old.Seq
 }
 
 // refresh adopts newer load and configuration of the same incarnation.
@@ -241,14 +241,14 @@
 		return
 	}
 	u := urgencyLoad
-	if in.Profiles != old.member.Profiles {
+	if in.ConfigVersion != old.member.ConfigVersion {
 		u = urgencyConfig
 	}
 	if in.StoreLost != old.member.StoreLost {
 		u = urgencyState
 	}
 	m := &old.member
-	m.Room, m.InFlight, m.Profiles, m.StoreLost, m.Seq = in.Room, in.InFlight, in.Profiles, in.StoreLost, in.Seq
+	m.FreeShare, m.InFlight, m.ConfigVersion, m.StoreLost, m.Seq = in.FreeShare, in.InFlight, in.ConfigVersion, in.StoreLost, in.Seq
 	v.enqueue(old, u, false, now)
 }
 
--- a/internal/notice/gossip.go
+++ b/internal/notice/gossip.go
@@ -9,7 +9,7 @@
 	"lynxhill.example/lynxhill/internal/gossip"
 )
 
-var _ gossip.Part = (*Keeper)(nil)
+var _ gossip.Participant = (*Tracker)(nil)
 
 const (
 	// minTransit is the least transit time that is added to the age of a notice
@@ -22,7 +22,7 @@
 
 // Fill implements gossip.Part. Rows are sent in rotation, starting after the last
 // one sent, so that all of them are sent within a few exchanges.
-func (k *Keeper) Fill(digest *gossip.Digest, _ string, budget int) int {
+func (k *Tracker) Fill(digest *gossip.Digest, _ string, budget int) int {
 	if !k.nonEmpty.Load() {
 		return 0
 	}
@@ -58,7 +58,7 @@
 }
 
 // rotation returns the targets sorted by name, starting after the last one sent.
-func (k *Keeper) rotation(rows map[string]board.Notice) []string {
+func (k *Tracker) rotation(rows map[string]board.Notice) []string {
 	targets := make([]string, 0, len(rows))
 	for target := range rows {
 		targets = append(targets, target)
@@ -76,7 +76,7 @@
 }
 
 // Absorb implements gossip.Part.
-func (k *Keeper) Absorb(digest gossip.Digest) {
+func (k *Tracker) Absorb(digest gossip.Digest) {
 	now := k.o.Clock.Now()
 	sent := now.Add(-max(digest.Transit, minTransit))
 	for _, n := range digest.Notices {
--- a/internal/notice/gossip_test.go
+++ b/internal/notice/gossip_test.go
@@ -14,8 +14,8 @@
 const largeBudget = 1 << 20
 
 // newKeepers returns three empty keepers.
-func newKeepers() []*Keeper {
-	var list []*Keeper
+func newKeepers() []*Tracker {
+	var list []*Tracker
 	for n := range 3 {
 		list = append(list, New(Options{Self: fmt.Sprint("i-", n), Board: board.New()}))
 	}
@@ -23,7 +23,7 @@
 }
 
 // sendDigest sends the notices of one keeper to another.
-func sendDigest(from, to *Keeper) {
+func sendDigest(from, to *Tracker) {
 	var digest gossip.Digest
 	from.Fill(&digest, "", largeBudget)
 	to.Absorb(digest)
@@ -33,10 +33,10 @@
 func TestNewestNoticeWins(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		k := newKeepers()
-		k[0].Sent("a").Answered(limitOf(2), true)
+		k[0].BeginRequest("a").ResponseReceived(limitOf(2), true)
 		sendDigest(k[0], k[1])
 		time.Sleep(time.Second)
-		k[0].Sent("a").Answered(limitOf(1), true)
+		k[0].BeginRequest("a").ResponseReceived(limitOf(1), true)
 		sendDigest(k[1], k[0])
 		sendDigest(k[1], k[2])
 		if rate, _ := k[0].Limit("a"); rate != 1 {
@@ -48,7 +48,7 @@
 			t.Errorf("the older of two notices won: %v", rate)
 		}
 		time.Sleep(time.Second)
-		k[2].Sent("a").Answered(fleet.Notice{}, true)
+		k[2].BeginRequest("a").ResponseReceived(fleet.Notice{}, true)
 		sendDigest(k[0], k[2])
 		sendDigest(k[2], k[0])
 		for _, n := range []int{0, 2} {
@@ -64,13 +64,13 @@
 func TestGossipDoesNotExtendNoticeTTL(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		k := newKeepers()
-		k[0].Sent("a").Answered(limitOf(2), true)
-		k[0].Sent("b").Answered(fleet.Notice{Leaving: true}, true)
+		k[0].BeginRequest("a").ResponseReceived(limitOf(2), true)
+		k[0].BeginRequest("b").ResponseReceived(fleet.Notice{Leaving: true}, true)
 		for range 2 * int(unlistedTTL/time.Second) {
 			for n := range k {
 				sendDigest(k[n], k[(n+1)%3])
 				sendDigest(k[n], k[(n+2)%3])
-				k[n].Forget(func(string) bool { return false })
+				k[n].RemoveExpired(func(string) bool { return false })
 			}
 			time.Sleep(time.Second)
 		}
@@ -88,7 +88,7 @@
 		k := newKeepers()
 		const targets = 100
 		for n := range targets {
-			k[0].Sent(fmt.Sprint("t", n)).Answered(limitOf(1), true)
+			k[0].BeginRequest(fmt.Sprint("t", n)).ResponseReceived(limitOf(1), true)
 		}
 		for range 20 {
 			var digest gossip.Digest
--- a/internal/notice/notice.go
+++ b/internal/notice/notice.go
@@ -49,9 +49,9 @@
 	Metrics  *metrics.Registry
 }
 
-// Keeper records the notices of targets in the board's table Notices. It is safe
+// Tracker records the notices of targets in the board's table Notices. It is safe
 // for concurrent use.
-type Keeper struct {
+type Tracker struct {
 	o        Options
 	limitSeq atomic.Uint64          // number of the last response that named or ended a limit
 	nonEmpty atomic.Bool            // the table has had a row
@@ -59,7 +59,7 @@
 }
 
 // New returns a Keeper without notices.
-func New(o Options) *Keeper {
+func New(o Options) *Tracker {
 	if o.Board == nil {
 		o.Board = board.New()
 	}
@@ -69,12 +69,12 @@
 	if o.OnChange == nil {
 		o.OnChange = func(_, _ board.Notice) {}
 	}
-	return &Keeper{o: o}
+	return &Tracker{o: o}
 }
 
 // Limit returns the request rate, per second, that the target accepts from all
 // instances together. named is false if the target has no limit in force.
-func (k *Keeper) Limit(target string) (rate float64, named bool) {
+func (k *Tracker) Limit(target string) (rate float64, named bool) {
 	row, found := k.row(target)
 	if !found || !row.Limit.Named || k.o.Clock.Now().Sub(row.Limit.At) >= limitTTL {
 		return 0, false
@@ -83,14 +83,14 @@
 }
 
 // Leaves reports whether the target has announced that it is leaving.
-func (k *Keeper) Leaves(target string) bool {
+func (k *Tracker) Leaves(target string) bool {
 	row, _ := k.row(target)
 	return row.Leaving
 }
 
 // Pause returns the time until which the target accepts nothing from this
 // instance; zero: it requested no pause, or the pause has ended.
-func (k *Keeper) Pause(target string) time.Time {
+func (k *Tracker) Pause(target string) time.Time {
 	row, _ := k.row(target)
 	if !k.o.Clock.Now().Before(row.PausedTo) {
 		return time.Time{}
@@ -101,7 +101,7 @@
 // row returns the notices of the target. It avoids the table lookup while the
 // table is empty: usually no target has a notice, and each choice of a target
 // checks all targets.
-func (k *Keeper) row(target string) (board.Notice, bool) {
+func (k *Tracker) row(target string) (board.Notice, bool) {
 	if !k.nonEmpty.Load() {
 		return board.Notice{}, false
 	}
@@ -110,24 +110,24 @@
 
 // Exchange is a request to a target whose response has not arrived.
 type Exchange struct {
-	keeper *Keeper
+	keeper *Tracker
 	target string
 	sentAt time.Time
 }
 
-// Sent records that a request is about to be sent to the target.
-func (k *Keeper) Sent(target string) Exchange {
+// BeginRequest records that a request is about to be sent to the target.
+func (k *Tracker) BeginRequest(target string) Exchange {
 	if _, named := k.Limit(target); named {
 		k.o.Metrics.Counter(metricSentLimited).Add(1)
 	}
 	return Exchange{keeper: k, target: target, sentAt: k.o.Clock.Now()}
 }
 
-// Answered records the notices in the header of the response. served reports that
+// ResponseReceived records the notices in the header of the response. served reports that
 // the target served the request. Only such a response ends a limit by not naming
 // one, since a failure may come from a part of the target that does not know the
 // limit.
-func (x Exchange) Answered(n fleet.Notice, served bool) {
+func (x Exchange) ResponseReceived(n fleet.Notice, served bool) {
 	if x.target == "" {
 		return
 	}
@@ -179,11 +179,11 @@
 }
 
 // updateRow changes the notices of a target and reports the change.
-func (k *Keeper) updateRow(target string, change func(*board.Notice)) {
+func (k *Tracker) updateRow(target string, change func(*board.Notice)) {
 	now := k.o.Clock.Now()
 	k.nonEmpty.Store(true)
 	if k.o.Board.Notices.Len() >= maxRows {
-		k.Forget(func(string) bool { return false })
+		k.RemoveExpired(func(string) bool { return false })
 	}
 	var before, after board.Notice
 	k.o.Board.Notices.Update(target, func(old board.Notice, _ bool) (board.Notice, bool) {
@@ -192,7 +192,7 @@
 		if after == old {
 			return old, false
 		}
-		after.Heard = now
+		after.ChangedAt = now
 		return after, true
 	})
 	if k.reportChange(target, before, after) {
@@ -200,15 +200,15 @@
 	}
 }
 
-// Forget removes the notices of targets that are not listed and whose notices
+// RemoveExpired removes the notices of targets that are not listed and whose notices
 // have not changed for unlistedTTL.
-func (k *Keeper) Forget(listed func(target string) bool) {
+func (k *Tracker) RemoveExpired(listed func(target string) bool) {
 	if !k.nonEmpty.Load() {
 		return
 	}
 	now := k.o.Clock.Now()
 	for target, row := range k.o.Board.Notices.Snapshot() {
-		if now.Sub(row.Heard) >= unlistedTTL && !listed(target) {
+		if now.Sub(row.ChangedAt) >= unlistedTTL && !listed(target) {
 			k.o.Board.Notices.Delete(target)
 		}
 	}
@@ -216,7 +216,7 @@
 
 // reportChange logs and counts the change, and returns whether other instances
 // need it.
-func (k *Keeper) reportChange(target string, before, after board.Notice) (propagate bool) {
+func (k *Tracker) reportChange(target string, before, after board.Notice) (propagate bool) {
 	if after.Leaving && !before.Leaving {
 		propagate = true
 		k.count("leaving")
@@ -238,4 +238,4 @@
 	return propagate
 }
 
-func (k *Keeper) count(kind string) { k.o.Metrics.Labelled(metricNotices).Add(kind, 1) }
+func (k *Tracker) count(kind string) { k.o.Metrics.Labelled(metricNotices).Add(kind, 1) }
--- a/internal/notice/notice_test.go
+++ b/internal/notice/notice_test.go
@@ -50,9 +50,9 @@
 				b := board.New()
 				k := New(Options{Board: b})
 				for _, a := range c.responses {
-					x := k.Sent("a")
+					x := k.BeginRequest("a")
 					time.Sleep(time.Second)
-					x.Answered(a.Notice, !a.failed)
+					x.ResponseReceived(a.Notice, !a.failed)
 				}
 				time.Sleep(time.Second)
 				row, _ := b.Notices.Get("a")
@@ -74,10 +74,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		b := board.New()
 		k := New(Options{Board: b})
-		early, late := k.Sent("a"), k.Sent("a")
+		early, late := k.BeginRequest("a"), k.BeginRequest("a")
 		time.Sleep(time.Second)
-		late.Answered(limitOf(1), true)
-		early.Answered(fleet.Notice{}, true)
+		late.ResponseReceived(limitOf(1), true)
+		early.ResponseReceived(fleet.Notice{}, true)
 		if row, _ := b.Notices.Get("a"); !row.Limit.Named {
 			t.Error("the limit has ended")
 		}
@@ -91,7 +91,7 @@
 	k := New(Options{Logger: event.NewLogger(log.NewLogfmtLogger(&out))})
 	for range 3 {
 		for _, n := range []fleet.Notice{limitOf(1.5), {Leaving: true, Limit: limitOf(1.5).Limit}, {Unreadable: "bad", Limit: limitOf(1.5).Limit}} {
-			k.Sent("i-1").Answered(n, true)
+			k.BeginRequest("i-1").ResponseReceived(n, true)
 		}
 	}
 	for line, times := range map[string]int{
--- a/internal/peer/mempeer/mempeer.go
+++ b/internal/peer/mempeer/mempeer.go
@@ -16,8 +16,8 @@
 // ErrUnreachable is the error of a call without a reply.
 var ErrUnreachable = errors.New("mempeer: unreachable")
 
-// Node holds the functions that serve the calls to one instance.
-type Node struct {
+// Instance holds the functions that serve the calls to one instance.
+type Instance struct {
 	Handle func(ctx context.Context, d gossip.Digest) gossip.Digest
 	Since  func(prefix string, after uint64) (objects []store.Object, mark uint64, more bool)
 }
@@ -28,7 +28,7 @@
 	sleep func(ctx context.Context, d time.Duration) bool
 
 	mu        sync.Mutex // guards the following fields
-	instances map[string]Node
+	instances map[string]Instance
 	blocked   map[link]bool
 	paused    map[string]chan struct{}
 	traffic   map[string]Traffic
@@ -48,7 +48,7 @@
 	return &Network{
 		delay:     delay,
 		sleep:     sleep,
-		instances: make(map[string]Node),
+		instances: make(map[string]Instance),
 		blocked:   make(map[link]bool),
 		paused:    make(map[string]chan struct{}),
 		traffic:   make(map[string]Traffic),
@@ -56,7 +56,7 @@
 }
 
 // Join attaches an instance to an address.
-func (n *Network) Join(addr string, instance Node) {
+func (n *Network) Join(addr string, instance Instance) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.instances[addr] = instance
@@ -143,10 +143,10 @@
 }
 
 // deliver delivers one message in one direction and returns the receiver.
-func (n *Network) deliver(ctx context.Context, from, to string) (Node, error) {
+func (n *Network) deliver(ctx context.Context, from, to string) (Instance, error) {
 	n.Wait(from)
 	if !n.sleep(ctx, n.delay) {
-		return Node{}, ctx.Err()
+		return Instance{}, ctx.Err()
 	}
 	n.mu.Lock()
 	lost := n.blocked[link{from, to}]
@@ -154,20 +154,20 @@
 	n.mu.Unlock()
 	if lost {
 		<-ctx.Done()
-		return Node{}, ErrUnreachable
+		return Instance{}, ErrUnreachable
 	}
 	if gate != nil {
 		select {
 		case <-gate:
 		case <-ctx.Done():
-			return Node{}, ErrUnreachable
+			return Instance{}, ErrUnreachable
 		}
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	receiver, ok := n.instances[to]
 	if !ok {
-		return Node{}, ErrUnreachable
+		return Instance{}, ErrUnreachable
 	}
 	return receiver, nil
 }
--- a/internal/peer/work.go
+++ b/internal/peer/work.go
@@ -33,8 +33,8 @@
 
 var errDispatcherSilent = errors.New("peer: the dispatcher is silent")
 
-// Work implements stagework.Remote.
-func (c *Client) Work(ctx context.Context, instance string, job stagework.Job) (stagework.Assignment, *stagework.Refusal, error) {
+// Submit implements stagework.Remote.
+func (c *Client) Submit(ctx context.Context, instance string, job stagework.Job) (stagework.Assignment, *stagework.Refusal, error) {
 	address, err := c.addressOf(instance)
 	if err != nil {
 		return nil, nil, err
@@ -128,7 +128,7 @@
 func (w *remoteWork) read() {
 	silence := time.AfterFunc(workSilenceTimeout, func() {
 		w.onSilence()
-		w.deliver(stagework.Decision{Lost: w.instance})
+		w.deliver(stagework.Decision{LostDispatcher: w.instance})
 	})
 	defer silence.Stop()
 	defer w.cancel()
@@ -136,7 +136,7 @@
 		m, err := w.stream.Receive()
 		if err != nil {
 			if silence.Stop() {
-				w.deliver(stagework.Decision{Lost: w.instance})
+				w.deliver(stagework.Decision{LostDispatcher: w.instance})
 			}
 			return
 		}
@@ -161,8 +161,8 @@
 // Decisions implements stagework.Assignment.
 func (w *remoteWork) Decisions() <-chan stagework.Decision { return w.decisions }
 
-// Begun implements stagework.Assignment.
-func (w *remoteWork) Begun() { w.send(peerpb.WorkEvent_WORK_EVENT_BEGUN) }
+// AnswerStarted implements stagework.Assignment.
+func (w *remoteWork) AnswerStarted() { w.send(peerpb.WorkEvent_WORK_EVENT_BEGUN) }
 
 // Rejected implements stagework.Assignment.
 func (w *remoteWork) Rejected(gone, failed bool) {
@@ -176,18 +176,18 @@
 	}
 }
 
-// Broke implements stagework.Assignment.
-func (w *remoteWork) Broke() { w.send(peerpb.WorkEvent_WORK_EVENT_BROKE) }
+// EngineFailed implements stagework.Assignment.
+func (w *remoteWork) EngineFailed() { w.send(peerpb.WorkEvent_WORK_EVENT_BROKE) }
 
-// Made implements stagework.Assignment.
-func (w *remoteWork) Made() []stagework.Made { return w.results.list(time.Now()) }
+// Results implements stagework.Assignment.
+func (w *remoteWork) Results() []stagework.ResultRef { return w.results.list(time.Now()) }
 
 // Dispatcher implements stagework.Assignment.
 func (w *remoteWork) Dispatcher() string { return w.instance }
 
-// Moved implements stagework.Assignment. A dispatcher that is paused has to read this
+// Transferred implements stagework.Assignment. A dispatcher that is paused has to read this
 // event, once it resumes, before the end of the stream.
-func (w *remoteWork) Moved() {
+func (w *remoteWork) Transferred() {
 	w.send(peerpb.WorkEvent_WORK_EVENT_MOVED)
 	w.End()
 }
@@ -241,7 +241,7 @@
 	defer cancel()
 	silence := time.AfterFunc(ownerSilenceTimeout, func() {
 		if h.o.CutOff != nil && h.o.CutOff() {
-			t.Moved()
+			t.Transferred()
 		}
 		cancel()
 	})
@@ -295,11 +295,11 @@
 }
 
 func sendDecision(stream *connect.BidiStream[peerpb.WorkUp, peerpb.WorkDown], d stagework.Decision) (done bool, err error) {
-	if d.Next != "" {
-		return true, stream.Send(&peerpb.WorkDown{Elsewhere: d.Next})
+	if d.NextDispatcher != "" {
+		return true, stream.Send(&peerpb.WorkDown{Elsewhere: d.NextDispatcher})
 	}
-	if d.Made != nil {
-		return false, stream.Send(&peerpb.WorkDown{Made: madeToProto(d.Made)})
+	if d.Results != nil {
+		return false, stream.Send(&peerpb.WorkDown{Made: madeToProto(d.Results)})
 	}
 	if d.Refusal != nil {
 		return true, stream.Send(workRefusalToProto(d.Refusal))
@@ -310,7 +310,7 @@
 func applyEvent(t stagework.Assignment, e peerpb.WorkEvent) {
 	switch e {
 	case peerpb.WorkEvent_WORK_EVENT_BEGUN:
-		t.Begun()
+		t.AnswerStarted()
 	case peerpb.WorkEvent_WORK_EVENT_REJECTED:
 		t.Rejected(false, false)
 	case peerpb.WorkEvent_WORK_EVENT_GONE:
@@ -318,18 +318,18 @@
 	case peerpb.WorkEvent_WORK_EVENT_FAILED:
 		t.Rejected(false, true)
 	case peerpb.WorkEvent_WORK_EVENT_BROKE:
-		t.Broke()
+		t.EngineFailed()
 	case peerpb.WorkEvent_WORK_EVENT_MOVED:
-		t.Moved()
+		t.Transferred()
 	}
 }
 
 func workRefusalToProto(r *stagework.Refusal) *peerpb.WorkDown {
-	return &peerpb.WorkDown{Reason: r.Reason, RetryAfterMs: uint32(max(r.RetryAfter.Milliseconds(), 0)), Elsewhere: r.Elsewhere}
+	return &peerpb.WorkDown{Reason: r.Reason, RetryAfterMs: uint32(max(r.RetryAfter.Milliseconds(), 0)), Elsewhere: r.FirstRanked}
 }
 
 func refusalOf(m *peerpb.WorkDown) *stagework.Refusal {
-	return &stagework.Refusal{Reason: m.GetReason(), RetryAfter: time.Duration(m.GetRetryAfterMs()) * time.Millisecond, Elsewhere: m.GetElsewhere()}
+	return &stagework.Refusal{Reason: m.GetReason(), RetryAfter: time.Duration(m.GetRetryAfterMs()) * time.Millisecond, FirstRanked: m.GetElsewhere()}
 }
 
 func decisionOf(m *peerpb.WorkDown) stagework.Decision {
@@ -337,7 +337,7 @@
 		return stagework.Decision{Refusal: refusalOf(m)}
 	}
 	if m.GetElsewhere() != "" {
-		return stagework.Decision{Next: m.GetElsewhere()}
+		return stagework.Decision{NextDispatcher: m.GetElsewhere()}
 	}
 	d := stagework.Decision{Placement: stagework.Placement{Target: m.GetTarget(), Address: m.GetAddress(), Inputs: m.GetInputs()}}
 	if m.GetHasInputs() && d.Inputs == nil {
--- a/internal/peer/work_convert.go
+++ b/internal/peer/work_convert.go
@@ -14,9 +14,9 @@
 func jobToProto(j stagework.Job, now time.Time) *peerpb.WorkJob {
 	out := &peerpb.WorkJob{
 		Id: j.ID, Key: j.Key, Organisation: j.Organisation, Priority: int32(j.Priority),
-		AimMs: j.Aim.Sub(now).Milliseconds(), DeadlineMs: j.Deadline.Sub(now).Milliseconds(),
-		Service: j.Service, Place: j.Place, Avoid: j.Avoid, Cell: j.Cell, Insist: uint32(j.Insist),
-		Made: madeToProto(j.Made), Owner: j.Owner, Route: j.Route,
+		AimMs: j.OnTimeUntil.Sub(now).Milliseconds(), DeadlineMs: j.Deadline.Sub(now).Milliseconds(),
+		Service: j.Service, Place: j.Zone, Avoid: j.ExcludedEngines, Cell: j.Cell, Insist: uint32(j.RankOverride),
+		Made: madeToProto(j.Results), Owner: j.Owner, Route: j.Route,
 	}
 	for i, s := range j.Stages {
 		stage := &peerpb.WorkStage{Service: s.Service, ResultBytes: uint64(max(s.ResultBytes, 0))}
@@ -29,7 +29,7 @@
 		out.Stages = append(out.Stages, stage)
 	}
 	if p := j.Prompt; p != nil {
-		out.Prompt = &peerpb.WorkPrompt{Model: p.Model, TokensIn: uint32(p.TokensIn), TokensOut: uint32(p.TokensOut), LikelyOut: uint32(p.LikelyOut)}
+		out.Prompt = &peerpb.WorkPrompt{Model: p.Model, TokensIn: uint32(p.TokensIn), TokensOut: uint32(p.TokensOut), LikelyOut: uint32(p.ExpectedOut)}
 		for _, q := range p.Parts {
 			out.Prompt.PartIds = append(out.Prompt.PartIds, q.ID)
 			out.Prompt.PartTokens = append(out.Prompt.PartTokens, uint32(q.Tokens))
@@ -41,10 +41,10 @@
 func jobFromProto(m *peerpb.WorkJob, now time.Time) stagework.Job {
 	j := stagework.Job{
 		ID: m.GetId(), Key: m.GetKey(), Organisation: m.GetOrganisation(), Priority: int(m.GetPriority()),
-		Aim:      now.Add(time.Duration(m.GetAimMs()) * time.Millisecond),
-		Deadline: now.Add(time.Duration(m.GetDeadlineMs()) * time.Millisecond),
-		Service:  m.GetService(), Place: m.GetPlace(), Avoid: m.GetAvoid(), Cell: m.GetCell(), Insist: stagework.Insistence(m.GetInsist()),
-		Made: madeFromProto(m.GetMade()), Owner: m.GetOwner(), Route: m.GetRoute(),
+		OnTimeUntil: now.Add(time.Duration(m.GetAimMs()) * time.Millisecond),
+		Deadline:    now.Add(time.Duration(m.GetDeadlineMs()) * time.Millisecond),
+		Service:     m.GetService(), Zone: m.GetPlace(), ExcludedEngines: m.GetAvoid(), Cell: m.GetCell(), RankOverride: stagework.RankOverride(m.GetInsist()),
+		Results: madeFromProto(m.GetMade()), Owner: m.GetOwner(), Route: m.GetRoute(),
 	}
 	for _, s := range m.GetStages() {
 		stage := route.Stage{Service: s.GetService(), ResultBytes: int64(s.GetResultBytes())}
@@ -55,7 +55,7 @@
 		j.Pieces = append(j.Pieces, int(s.GetPieces()))
 	}
 	if p := m.GetPrompt(); p != nil {
-		j.Prompt = &relay.Prompt{Model: p.GetModel(), TokensIn: int(p.GetTokensIn()), TokensOut: int(p.GetTokensOut()), LikelyOut: int(p.GetLikelyOut())}
+		j.Prompt = &relay.Prompt{Model: p.GetModel(), TokensIn: int(p.GetTokensIn()), TokensOut: int(p.GetTokensOut()), ExpectedOut: int(p.GetLikelyOut())}
 		for i, id := range p.GetPartIds() {
 			part := relay.PromptPart{ID: id}
 			if i < len(p.GetPartTokens()) {
--- a/internal/peer/work_made.go
+++ b/internal/peer/work_made.go
@@ -11,7 +11,7 @@
 // results holds the pieces of a job that a dispatcher on another instance has produced.
 type results struct {
 	mu     sync.Mutex // guards pieces and madeAt
-	pieces map[pieceID]stagework.Made
+	pieces map[pieceID]stagework.ResultRef
 	madeAt map[pieceID]time.Time // when the age of the piece was zero, by this instance's clock
 }
 
@@ -19,7 +19,7 @@
 type pieceID struct{ stage, number int }
 
 func newResults() *results {
-	return &results{pieces: make(map[pieceID]stagework.Made), madeAt: make(map[pieceID]time.Time)}
+	return &results{pieces: make(map[pieceID]stagework.ResultRef), madeAt: make(map[pieceID]time.Time)}
 }
 
 // put stores results. A piece that was produced again replaces the previous one.
@@ -36,10 +36,10 @@
 }
 
 // list returns the results with their current age.
-func (r *results) list(now time.Time) []stagework.Made {
+func (r *results) list(now time.Time) []stagework.ResultRef {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	list := make([]stagework.Made, 0, len(r.pieces))
+	list := make([]stagework.ResultRef, 0, len(r.pieces))
 	for id, m := range r.pieces {
 		m.Age = now.Sub(r.madeAt[id])
 		list = append(list, m)
@@ -47,7 +47,7 @@
 	return list
 }
 
-func madeToProto(made []stagework.Made) []*peerpb.WorkMade {
+func madeToProto(made []stagework.ResultRef) []*peerpb.WorkMade {
 	list := make([]*peerpb.WorkMade, 0, len(made))
 	for _, m := range made {
 		list = append(list, &peerpb.WorkMade{
@@ -58,10 +58,10 @@
 	return list
 }
 
-func madeFromProto(made []*peerpb.WorkMade) []stagework.Made {
-	list := make([]stagework.Made, 0, len(made))
+func madeFromProto(made []*peerpb.WorkMade) []stagework.ResultRef {
+	list := make([]stagework.ResultRef, 0, len(made))
 	for _, m := range made {
-		list = append(list, stagework.Made{
+		list = append(list, stagework.ResultRef{
 			Stage: int(m.GetStage()), Number: int(m.GetNumber()), Target: m.GetTarget(), Handle: m.GetHandle(),
 			Age: time.Duration(m.GetAgeMs()) * time.Millisecond,
 		})
--- a/internal/peer/work_test.go
+++ b/internal/peer/work_test.go
@@ -24,11 +24,11 @@
 }
 
 func (s *scriptedJob) Decisions() <-chan stagework.Decision { return s.decisions }
-func (s *scriptedJob) Moved()                               { s.events <- "moved" }
-func (s *scriptedJob) Made() []stagework.Made               { return nil }
+func (s *scriptedJob) Transferred()                         { s.events <- "moved" }
+func (s *scriptedJob) Results() []stagework.ResultRef       { return nil }
 func (s *scriptedJob) Dispatcher() string                   { return "b" }
-func (s *scriptedJob) Begun()                               { s.events <- "begun" }
-func (s *scriptedJob) Broke()                               { s.events <- "broke" }
+func (s *scriptedJob) AnswerStarted()                       { s.events <- "begun" }
+func (s *scriptedJob) EngineFailed()                        { s.events <- "broke" }
 func (s *scriptedJob) End()                                 { s.events <- "end" }
 func (s *scriptedJob) Rejected(gone, failed bool)           { s.events <- fmt.Sprint("rejected ", gone, failed) }
 
@@ -63,7 +63,7 @@
 // submit submits a job and requires that it is accepted.
 func submit(t *testing.T, client *Client) stagework.Assignment {
 	t.Helper()
-	a, refusal, err := client.Work(t.Context(), "b", stagework.Job{ID: "j"})
+	a, refusal, err := client.Submit(t.Context(), "b", stagework.Job{ID: "j"})
 	if err != nil || refusal != nil {
 		t.Fatal(refusal, err)
 	}
@@ -73,29 +73,29 @@
 func TestEveryFieldOfAJobArrives(t *testing.T) {
 	now := time.Now()
 	want := stagework.Job{
-		ID: "i", Key: "k", Organisation: "o", Owner: "w", Route: "r", Priority: 2, Aim: now.Add(-time.Minute), Deadline: now.Add(time.Hour),
+		ID: "i", Key: "k", Organisation: "o", Owner: "w", Route: "r", Priority: 2, OnTimeUntil: now.Add(-time.Minute), Deadline: now.Add(time.Hour),
 		Stages: []route.Stage{{Service: "s", After: []int{1}, ResultBytes: 1 << 40}, {Service: "t", ResultBytes: 3}}, Pieces: []int{3, 4}, Service: "lm",
-		Prompt: &relay.Prompt{Model: "m", TokensIn: 5, TokensOut: 6, LikelyOut: 7, Parts: []relay.PromptPart{{ID: "p", Tokens: 8}, {ID: "q", Tokens: 9}}},
-		Place:  "z", Avoid: []string{"e", "f"}, Cell: []string{"x", "y"}, Insist: stagework.InsistTried,
-		Made: []stagework.Made{{Stage: 1, Number: 2, Target: "t", Handle: "h", Age: time.Second}},
+		Prompt: &relay.Prompt{Model: "m", TokensIn: 5, TokensOut: 6, ExpectedOut: 7, Parts: []relay.PromptPart{{ID: "p", Tokens: 8}, {ID: "q", Tokens: 9}}},
+		Zone:   "z", ExcludedEngines: []string{"e", "f"}, Cell: []string{"x", "y"}, RankOverride: stagework.OverrideUnreachable,
+		Results: []stagework.ResultRef{{Stage: 1, Number: 2, Target: "t", Handle: "h", Age: time.Second}},
 	}
 	requireAllSet(t, reflect.ValueOf(want), "Job")
 	requireAllSet(t, reflect.ValueOf(*want.Prompt), "Job.Prompt")
-	refusal := stagework.Refusal{Reason: stagework.ReasonLate, RetryAfter: 1500 * time.Millisecond, Elsewhere: "c"}
+	refusal := stagework.Refusal{Reason: stagework.ReasonLate, RetryAfter: 1500 * time.Millisecond, FirstRanked: "c"}
 	jobs := make(chan stagework.Job, 1)
 	client, _ := startServer(t, ServerOptions{Work: func(j stagework.Job) (stagework.Assignment, *stagework.Refusal) {
 		jobs <- j
 		return nil, &refusal
 	}})
-	_, answer, err := client.Work(t.Context(), "b", want)
+	_, answer, err := client.Submit(t.Context(), "b", want)
 	if err != nil || answer == nil || *answer != refusal {
 		t.Errorf("refusal %+v, %v", answer, err)
 	}
 	got := receiveWithin(t, 5*time.Second, jobs)
-	if a, d := got.Aim.Sub(want.Aim).Abs(), got.Deadline.Sub(want.Deadline).Abs(); a > time.Second || d > time.Second {
+	if a, d := got.OnTimeUntil.Sub(want.OnTimeUntil).Abs(), got.Deadline.Sub(want.Deadline).Abs(); a > time.Second || d > time.Second {
 		t.Errorf("aim off by %v, deadline by %v", a, d)
 	}
-	got.Aim, got.Deadline = want.Aim, want.Deadline
+	got.OnTimeUntil, got.Deadline = want.OnTimeUntil, want.Deadline
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("received %+v\nsent %+v", got, want)
 	}
@@ -120,8 +120,8 @@
 			t.Errorf("placed %#v instead of %#v", got, later)
 		}
 	}
-	a.Begun()
-	a.Broke()
+	a.AnswerStarted()
+	a.EngineFailed()
 	expectEvents(t, s, "begun", "broke")
 	a.End()
 	a.End()
@@ -141,7 +141,7 @@
 	s, client, _ := startScriptedServer(t)
 	for range 30 {
 		a := submit(t, client)
-		a.Broke()
+		a.EngineFailed()
 		a.End()
 		expectEvents(t, s, "broke", "end")
 	}
@@ -210,11 +210,11 @@
 	}
 	w.silent.Store(true)
 	began := time.Now()
-	if d := receiveWithin(t, 5*time.Second, a.Decisions()); d.Lost == "" || time.Since(began) > 1500*time.Millisecond {
+	if d := receiveWithin(t, 5*time.Second, a.Decisions()); d.LostDispatcher == "" || time.Since(began) > 1500*time.Millisecond {
 		t.Errorf("decision %+v after %v", d, time.Since(began))
 	}
 	began = time.Now()
-	if _, _, err := client.Work(context.Background(), "b", stagework.Job{}); err == nil || time.Since(began) > time.Second {
+	if _, _, err := client.Submit(context.Background(), "b", stagework.Job{}); err == nil || time.Since(began) > time.Second {
 		t.Errorf("a silent dispatcher accepted a job: %v after %v", err, time.Since(began))
 	}
 }
@@ -224,11 +224,11 @@
 	a := submit(t, client)
 	w.closeAll()
 	began := time.Now()
-	if d := receiveWithin(t, 5*time.Second, a.Decisions()); d.Lost == "" || time.Since(began) > workSilenceTimeout/2 {
+	if d := receiveWithin(t, 5*time.Second, a.Decisions()); d.LostDispatcher == "" || time.Since(began) > workSilenceTimeout/2 {
 		t.Errorf("decision %+v after %v", d, time.Since(began))
 	}
 	expectEvents(t, s, "end") // at the dispatcher, the job's owner is gone
-	a.Begun()
+	a.AnswerStarted()
 	a.End()
 }
 
@@ -280,7 +280,7 @@
 	}
 	client := NewClient(Options{Address: func(string) (string, bool) { return address, true }})
 	for range 20 { // whether the send or the connection fails first varies
-		if _, _, err := client.Work(t.Context(), "b", stagework.Job{ID: "j"}); !errors.Is(err, syscall.ECONNREFUSED) {
+		if _, _, err := client.Submit(t.Context(), "b", stagework.Job{ID: "j"}); !errors.Is(err, syscall.ECONNREFUSED) {
 			t.Fatalf("the owner gets the error %v, want a refused connection", err)
 		}
 	}
--- a/internal/pipeline/attempt.go
+++ b/internal/pipeline/attempt.go
@@ -29,7 +29,7 @@
 type attempt struct {
 	s      *stageRun
 	id     string
-	want   admission.Want
+	want   admission.SlotRequest
 	resume string // part of the answer that was received before this attempt
 	offset int    // expected offset of the next frame in the answer
 	ctx    context.Context
@@ -38,7 +38,7 @@
 	// Written by the stage.
 	choice     routing.Choice
 	slot       admission.Slot
-	usual      admission.Usual
+	usual      admission.Typical
 	pace       pace
 	begun      time.Time // time of the dispatch
 	ended      time.Time
@@ -142,7 +142,7 @@
 // end as "may have run" although the target never received it. The cost is one
 // more round trip.
 func (a *attempt) newConnection() bool {
-	return a.want.Repeat || !a.s.stage.Idempotent
+	return a.want.Retry || !a.s.stage.Idempotent
 }
 
 // call makes the call, records whether it is proven not to have run, and releases
@@ -150,7 +150,7 @@
 func (a *attempt) call(slot admission.Slot, choice routing.Choice, timeouts admission.Timeouts) (stagecall.Result, error) {
 	x := a.s.x
 	target := stagecall.Target{ID: choice.Target.ID, Address: choice.Target.Address}
-	endSuspect := x.r.opts.Crash.Begin(x.fingerprint, target.ID)
+	endSuspect := x.r.opts.CrashGuard.Begin(x.fingerprint, target.ID)
 	begun := x.now()
 	result, err := x.r.opts.Caller.Run(a.ctx, target, a.request(choice), stagecall.Options{
 		FirstByte:     timeouts.FirstByte,
@@ -224,7 +224,7 @@
 	}
 	ctx := newDeadlineContext(context.WithoutCancel(a.ctx), a.s.x.r.opts.Clock, a.s.x.now().Add(aliveTimeout))
 	defer ctx.release()
-	return a.s.x.r.opts.Crash.Broke(ctx, a.s.x.fingerprint, target)
+	return a.s.x.r.opts.CrashGuard.AttemptBroke(ctx, a.s.x.fingerprint, target)
 }
 
 // slotResult returns what the gate is told about the target when the slot is
@@ -241,19 +241,19 @@
 		return result
 	}
 	f := stagecall.FailureOf(err)
-	result.Connection = f.Connection
+	result.Connection = f.ConnectionLost
 	switch f.Class {
 	case stagecall.ClassRefused:
 		result.Refused = true
 		result.Leaving = f.Code == targetapi.CodeLeaving
 	case stagecall.ClassSilent:
-		result.Overload = !f.Connection
+		result.Overload = !f.ConnectionLost
 	case stagecall.ClassCancelled, stagecall.ClassBadInput:
 		result.Cancelled = true
 	}
 	if crashed || a.ctx.Err() != nil {
 		result.Cancelled = true
-		result.Outrun = errors.Is(context.Cause(a.ctx), errSuperseded)
+		result.LostRace = errors.Is(context.Cause(a.ctx), errSuperseded)
 	}
 	return result
 }
--- a/internal/pipeline/claimed.go
+++ b/internal/pipeline/claimed.go
@@ -89,11 +89,11 @@
 // request. This instance does not ask itself: its record of the key is the
 // present request, which would wait for itself.
 func (s *stageRun) askHolder(holder string) (outcome.Record, bool) {
-	if holder == "" || holder == s.x.r.opts.Self || s.x.r.opts.Remote == nil {
+	if holder == "" || holder == s.x.r.opts.InstanceID || s.x.r.opts.RemoteOutcomes == nil {
 		return outcome.Record{}, false
 	}
 	key := outcome.Key{Organisation: s.x.req.Organisation, Key: s.x.req.Key}
-	record, found, err := s.x.r.opts.Remote.Outcome(s.x.ctx, holder, key)
+	record, found, err := s.x.r.opts.RemoteOutcomes.Outcome(s.x.ctx, holder, key)
 	return record, found && err == nil
 }
 
--- a/internal/pipeline/failure.go
+++ b/internal/pipeline/failure.go
@@ -62,7 +62,7 @@
 	case stagecall.ClassRefused:
 		return f.Code != targetapi.CodeBusy
 	}
-	return f.Connection
+	return f.ConnectionLost
 }
 
 // notRetryable reports whether the attempt would fail on any other target too.
@@ -83,7 +83,7 @@
 	if len(s.attempts) >= s.x.r.opts.MaxAttempts {
 		return false
 	}
-	return !s.x.r.opts.Crash.Refused(s.x.fingerprint)
+	return !s.x.r.opts.CrashGuard.Refused(s.x.fingerprint)
 }
 
 // retry makes a further attempt: the second at once, later ones after a backoff
@@ -138,7 +138,7 @@
 // kindOf maps a failure to the error kind that the caller gets.
 func (s *stageRun) kindOf(f *stagecall.Failure) errkind.Kind {
 	switch {
-	case s.x.r.opts.Crash.Refused(s.x.fingerprint):
+	case s.x.r.opts.CrashGuard.Refused(s.x.fingerprint):
 		return errkind.CrashesTargets
 	case f.Class == stagecall.ClassBadInput:
 		return errkind.TargetRejectedInput
--- a/internal/pipeline/fakes_test.go
+++ b/internal/pipeline/fakes_test.go
@@ -32,13 +32,13 @@
 	targets   int // per service
 	timeouts  admission.Timeouts
 	quantiles map[string]time.Duration // by stage
-	refuse    func(want admission.Want) error
+	refuse    func(want admission.SlotRequest) error
 	wait      time.Duration // time in the queue
 	clock     clock.Clock
 
 	mu      sync.Mutex // guards the fields below
 	next    int
-	wants   []admission.Want
+	wants   []admission.SlotRequest
 	results []admission.Result
 	paces   []time.Duration
 }
@@ -50,7 +50,7 @@
 
 func (s *fakeSlot) Choice() routing.Choice { return s.choice }
 
-func (s *fakeSlot) Pace(perToken time.Duration) {
+func (s *fakeSlot) ReportPace(perToken time.Duration) {
 	s.gate.mu.Lock()
 	defer s.gate.mu.Unlock()
 	s.gate.paces = append(s.gate.paces, perToken)
@@ -62,7 +62,7 @@
 	s.gate.results = append(s.gate.results, result)
 }
 
-func (g *fakeGate) Acquire(ctx context.Context, want admission.Want) (admission.Slot, error) {
+func (g *fakeGate) Acquire(ctx context.Context, want admission.SlotRequest) (admission.Slot, error) {
 	if g.wait > 0 {
 		timer := g.clock.NewTimer(g.wait)
 		defer timer.Stop()
@@ -258,16 +258,16 @@
 		"book":  {Version: 4, Profile: bookProfile()},
 	}
 	return New(Options{
-		Profiles: func(name string) (profile.Versioned, bool) { p, ok := profiles[name]; return p, ok },
-		Gate:     w.gate,
-		Caller:   w.fleet,
-		Claims:   w.claims,
-		Remote:   w.remote,
-		Crash:    w.guard,
-		Clock:    w.clock,
-		Rand:     rand.New(rand.NewPCG(7, 7)),
-		Self:     self,
-		Check:    invariant.New(w.violated),
+		Profiles:       func(name string) (profile.Versioned, bool) { p, ok := profiles[name]; return p, ok },
+		Gate:           w.gate,
+		Caller:         w.fleet,
+		Claims:         w.claims,
+		RemoteOutcomes: w.remote,
+		CrashGuard:     w.guard,
+		Clock:          w.clock,
+		Rand:           rand.New(rand.NewPCG(7, 7)),
+		InstanceID:     self,
+		Invariants:     invariant.New(w.violated),
 	})
 }
 
@@ -321,8 +321,8 @@
 	}
 }
 
-func refuseRepeats(want admission.Want) error {
-	if want.Repeat {
+func refuseRepeats(want admission.SlotRequest) error {
+	if want.Retry {
 		return errkind.New(errkind.Overloaded, "budget for repeats is spent")
 	}
 	return nil
--- a/internal/pipeline/faults_test.go
+++ b/internal/pipeline/faults_test.go
@@ -31,12 +31,12 @@
 		{"a frame was lost between the two ends, the next one skips bytes", memtarget.Plan{Fault: memtarget.Gap, AfterBytes: 20}, true},
 		{"frames are missing before the end mark: truncated, yet it looks ended", memtarget.Plan{Fault: memtarget.Truncated, AfterBytes: 20}, true},
 		{"the connection closes after the last frame, before the end mark", memtarget.Plan{Fault: memtarget.NoEnd}, true},
-		{"a pooled connection has gone silent, a new one works", memtarget.Plan{Fault: memtarget.Silent, OldConnection: true}, false},
-		{"the target stops making progress in the middle", memtarget.Plan{Fault: memtarget.Straggle, Slow: 500}, false},
+		{"a pooled connection has gone silent, a new one works", memtarget.Plan{Fault: memtarget.Silent, PooledConnectionOnly: true}, false},
+		{"the target stops making progress in the middle", memtarget.Plan{Fault: memtarget.Straggle, Slowdown: 500}, false},
 		{"the target refuses", memtarget.Plan{Fault: memtarget.Refuse}, false},
 		{"the target is gone", memtarget.Plan{Fault: memtarget.ConnectFail}, false},
 		{"the target fails in the middle", memtarget.Plan{Fault: memtarget.Fail, AfterBytes: 20}, true},
-		{"the target crashes", memtarget.Plan{Fault: memtarget.Die}, false},
+		{"the target crashes", memtarget.Plan{Fault: memtarget.Crash}, false},
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
@@ -56,7 +56,7 @@
 					t.Errorf("last attempt begins at %d", last.ResumeOffset)
 				}
 				want := w.gate.wants[len(w.gate.wants)-1]
-				if !want.Repeat {
+				if !want.Retry {
 					t.Error("the retry was not counted against the retry budget")
 				}
 				if (want.Provider != "") != row.resume {
@@ -73,7 +73,7 @@
 // a new connection.
 func TestOnlyTargetIsTriedAgainOnNewConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newTestEnv(memtarget.Options{Plan: faultOnce(stageDraft, memtarget.Plan{Fault: memtarget.Silent, OldConnection: true})})
+		w := newTestEnv(memtarget.Options{Plan: faultOnce(stageDraft, memtarget.Plan{Fault: memtarget.Silent, PooledConnectionOnly: true})})
 		w.gate.targets = 1
 		req := w.request("draft", "k")
 		sink := new(recorder)
@@ -87,9 +87,9 @@
 // sent, and both attempts answer. Only one of them may deliver.
 func TestHedgeWinsAndAloneDelivers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newTestEnv(memtarget.Options{Plan: faultOnce(stageDraft, memtarget.Plan{Fault: memtarget.Straggle, Slow: 20})})
+		w := newTestEnv(memtarget.Options{Plan: faultOnce(stageDraft, memtarget.Plan{Fault: memtarget.Straggle, Slowdown: 20})})
 		// The straggler's first frame comes at 50 ms, the hedge's 2.5 ms after it starts.
-		w.gate.timeouts.HedgeAt = 47500 * time.Microsecond
+		w.gate.timeouts.HedgeDelay = 47500 * time.Microsecond
 		req := w.request("draft", "k")
 		sink := new(recorder)
 		out, err := w.runner.Run(t.Context(), req, sink)
@@ -108,8 +108,8 @@
 // must be cancelled, and count as neither a success nor a fault of its target.
 func TestHedgeCancelsTheLoser(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newTestEnv(memtarget.Options{Plan: faultOnce(stageDraft, memtarget.Plan{Fault: memtarget.Straggle, Slow: 150})})
-		w.gate.timeouts.HedgeAt = 30 * time.Millisecond
+		w := newTestEnv(memtarget.Options{Plan: faultOnce(stageDraft, memtarget.Plan{Fault: memtarget.Straggle, Slowdown: 150})})
+		w.gate.timeouts.HedgeDelay = 30 * time.Millisecond
 		out, err := w.runner.Run(t.Context(), w.request("draft", "k"), new(recorder))
 		if err != nil || out.Stages[1].Hedges != 1 || out.Stages[1].Wasted <= 0 {
 			t.Fatalf("got %+v, %v", out.Stages, err)
@@ -119,7 +119,7 @@
 		if len(runs) != 2 || !runs[0].Cancelled || runs[1].Cancelled {
 			t.Errorf("runs %+v", runs)
 		}
-		if want := w.gate.wants[len(w.gate.wants)-1]; !want.NoWait || !want.Repeat {
+		if want := w.gate.wants[len(w.gate.wants)-1]; !want.NoWait || !want.Retry {
 			t.Errorf("hedge asked for %+v", want)
 		}
 	})
@@ -129,11 +129,11 @@
 // service books, and then its reply is lost, it goes silent, or it reports a
 // failure. A resend by the caller must not run the stage again either.
 func TestNonIdempotentRunsAtMostOnce(t *testing.T) {
-	for _, fault := range []memtarget.Fault{memtarget.LostReply, memtarget.Silent, memtarget.Fail, memtarget.Die, memtarget.WrongIDs} {
+	for _, fault := range []memtarget.Fault{memtarget.LostReply, memtarget.Silent, memtarget.Fail, memtarget.Crash, memtarget.WrongIDs} {
 		t.Run(fault.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				w := newTestEnv(memtarget.Options{Plan: faultOnce(stageBook, memtarget.Plan{Fault: fault})})
-				w.gate.timeouts.HedgeAt = time.Millisecond
+				w.gate.timeouts.HedgeDelay = time.Millisecond
 				_, err := w.runner.Run(t.Context(), w.request("book", "k"), nil)
 				want := errkind.TargetFailed
 				if fault == memtarget.Silent {
@@ -165,7 +165,7 @@
 // the usual time, but not longer than the deadline.
 func TestSlowNonIdempotentCallIsWaitedFor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newTestEnv(memtarget.Options{Plan: faultOnce(stageBook, memtarget.Plan{Fault: memtarget.Straggle, Slow: 400})})
+		w := newTestEnv(memtarget.Options{Plan: faultOnce(stageBook, memtarget.Plan{Fault: memtarget.Straggle, Slowdown: 400})})
 		req := w.request("book", "k")
 		out, err := w.runner.Run(t.Context(), req, nil)
 		if err != nil || string(out.Output) != wholeBooking(req) {
@@ -179,7 +179,7 @@
 // call that cannot be retried must use a new connection.
 func TestNonIdempotentCallUsesNewConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newTestEnv(memtarget.Options{Plan: faultOnce(stageBook, memtarget.Plan{Fault: memtarget.Silent, OldConnection: true})})
+		w := newTestEnv(memtarget.Options{Plan: faultOnce(stageBook, memtarget.Plan{Fault: memtarget.Silent, PooledConnectionOnly: true})})
 		req := w.request("book", "k")
 		out, err := w.runner.Run(t.Context(), req, nil)
 		if err != nil || string(out.Output) != wholeBooking(req) {
@@ -233,7 +233,7 @@
 func TestNothingIsDispatchedAfterNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newTestEnv(memtarget.Options{})
-		w.gate.refuse = func(admission.Want) error { time.Sleep(11 * time.Second); return nil } // grants the slot late, regardless of the context
+		w.gate.refuse = func(admission.SlotRequest) error { time.Sleep(11 * time.Second); return nil } // grants the slot late, regardless of the context
 		_, err := w.runner.Run(t.Context(), w.request("draft", "k"), nil)
 		if !errkind.Is(err, errkind.DeadlineBeforeRun) {
 			t.Errorf("got %v", err)
@@ -250,7 +250,7 @@
 // call must not be cancelled when its caller disconnects.
 func TestClaimedCallOutlivesItsCaller(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		slow := memtarget.Plan{Fault: memtarget.Straggle, Slow: 20}
+		slow := memtarget.Plan{Fault: memtarget.Straggle, Slowdown: 20}
 		w := newTestEnv(memtarget.Options{Plan: faultOnce(stageBook, slow)})
 		ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 		defer cancel()
@@ -387,8 +387,8 @@
 				t.Fatal(err)
 			}
 			want := w.gate.wants[len(w.gate.wants)-1]
-			if !want.Repeat || want.Fault != row.fault {
-				t.Errorf("%v: repeat %v, fault %v, want fault %v", row.plan.Fault, want.Repeat, want.Fault, row.fault)
+			if !want.Retry || want.AfterFault != row.fault {
+				t.Errorf("%v: repeat %v, fault %v, want fault %v", row.plan.Fault, want.Retry, want.AfterFault, row.fault)
 			}
 		})
 	}
--- a/internal/pipeline/finish.go
+++ b/internal/pipeline/finish.go
@@ -18,7 +18,7 @@
 
 // finish returns the request's only answer and records the end of the request.
 func (x *execution) finish(output json.RawMessage, err error) (Outcome, error) {
-	check := x.r.opts.Check
+	check := x.r.opts.Invariants
 	check.Check(!x.finished, invariant.OneDelivery, "request %s", x.req.ID)
 	x.finished = true
 	dispatched := x.dispatches.close()
@@ -30,7 +30,7 @@
 		return out, err
 	}
 	if !x.repeated {
-		x.r.opts.Crash.Survived(x.fingerprint)
+		x.r.opts.CrashGuard.RecordSuccess(x.fingerprint)
 	}
 	x.r.opts.Metrics.Labelled(metricRequests).Add("ok", 1)
 	return out, nil
@@ -65,7 +65,7 @@
 		kind = final
 	}
 	truthful := !dispatched || kind.RunState() != errkind.NotRun
-	if !x.r.opts.Check.Check(truthful, invariant.RunStateTrue, "request %s: error kind %s means not run, but it was dispatched", x.req.ID, kind) {
+	if !x.r.opts.Invariants.Check(truthful, invariant.RunStateCorrect, "request %s: error kind %s means not run, but it was dispatched", x.req.ID, kind) {
 		err = errkind.Wrap(err, errkind.Internal, "run state")
 	}
 	if kind.Answer().Resend == errkind.ResendLater && after == 0 {
--- a/internal/pipeline/machine_test.go
+++ b/internal/pipeline/machine_test.go
@@ -50,9 +50,9 @@
 
 func newMachine(seed uint64) *machine {
 	m := &machine{random: rand.New(rand.NewPCG(seed, 1))}
-	m.testEnv = newTestEnv(memtarget.Options{Plan: m.plan, Marker: "poison", RestartAfter: 300 * time.Millisecond})
-	m.gate.timeouts.HedgeAt = 15 * time.Millisecond
-	m.gate.refuse = func(admission.Want) error { return m.sometimes(errkind.NoTarget) }
+	m.testEnv = newTestEnv(memtarget.Options{Plan: m.plan, CrashMarker: "poison", RestartAfter: 300 * time.Millisecond})
+	m.gate.timeouts.HedgeDelay = 15 * time.Millisecond
+	m.gate.refuse = func(admission.SlotRequest) error { return m.sometimes(errkind.NoTarget) }
 	m.claims.fail = func() error { return m.sometimes(errkind.StoreUnavailable) }
 	m.other = m.newRunner("other")
 	return m
@@ -66,9 +66,9 @@
 	}
 	faults := memtarget.Faults()
 	return memtarget.Plan{
-		Fault:         faults[m.random.IntN(len(faults))],
-		AfterBytes:    m.random.IntN(80),
-		OldConnection: m.random.IntN(2) == 0,
+		Fault:                faults[m.random.IntN(len(faults))],
+		AfterBytes:           m.random.IntN(80),
+		PooledConnectionOnly: m.random.IntN(2) == 0,
 	}
 }
 
--- a/internal/pipeline/options.go
+++ b/internal/pipeline/options.go
@@ -29,18 +29,18 @@
 type Options struct {
 	// Profiles returns the profile that is in force. A request keeps the version
 	// that it started with, even if another one comes into force meanwhile.
-	Profiles func(name string) (profile.Versioned, bool)
-	Gate     admission.Gate
-	Caller   stagecall.Caller
-	Claims   claim.Claimer
-	Remote   outcome.Remote    // nil: instances that hold claims are not asked for outcomes
-	Crash    *crashguard.Guard // nil: no request is refused
-	Clock    clock.Clock
-	Rand     *rand.Rand // used under the Runner's lock
-	Self     string     // ID of this instance
-	Place    string     // availability zone of this instance
-	Region   string     // region of this instance
-	Check    *invariant.Checker
+	Profiles       func(name string) (profile.Versioned, bool)
+	Gate           admission.Gate
+	Caller         stagecall.Caller
+	Claims         claim.Claimer
+	RemoteOutcomes outcome.Remote    // nil: instances that hold claims are not asked for outcomes
+	CrashGuard     *crashguard.Guard // nil: no request is refused
+	Clock          clock.Clock
+	Rand           *rand.Rand // used under the Runner's lock
+	InstanceID     string     // ID of this instance
+	Zone           string     // availability zone of this instance
+	Region         string     // region of this instance
+	Invariants     *invariant.Checker
 	// MaxAnswerBytes is the maximum size of the answer of each stage.
 	MaxAnswerBytes int
 	// MaxAttempts is the maximum number of attempts of one stage, including
--- a/internal/pipeline/pace.go
+++ b/internal/pipeline/pace.go
@@ -65,7 +65,7 @@
 // request that is suspected of crashing targets.
 func (s *stageRun) mayMigrate(a *attempt) bool {
 	return s.stage.Idempotent && !s.detached && a.usual.PerToken > 0 && s.replacement == nil && s.migrations < maxMigrations &&
-		len(s.attempts) < s.x.r.opts.MaxAttempts && !s.x.ended() && !s.x.r.opts.Crash.Suspect(s.x.fingerprint)
+		len(s.attempts) < s.x.r.opts.MaxAttempts && !s.x.ended() && !s.x.r.opts.CrashGuard.Suspected(s.x.fingerprint)
 }
 
 // checkPace examines the primary attempt when its next frame is overdue, and
@@ -86,7 +86,7 @@
 	}
 	if !a.pace.reported {
 		a.pace.reported = true
-		a.slot.Pace(perToken)
+		a.slot.ReportPace(perToken)
 	}
 	if !s.worthMigrating(a, perToken) {
 		return
--- a/internal/pipeline/pace_test.go
+++ b/internal/pipeline/pace_test.go
@@ -30,8 +30,8 @@
 // silence ended a stream, one answer in twenty would take eight times as long,
 // because a straggler is never silent.
 func TestSlowStreamIsMigrated(t *testing.T) {
-	slow := memtarget.Plan{Fault: memtarget.Straggle, Slow: 100} // a frame each 250 ms instead of 2.5 ms
-	slower := memtarget.Plan{Fault: memtarget.Straggle, Slow: 115}
+	slow := memtarget.Plan{Fault: memtarget.Straggle, Slowdown: 100} // a frame each 250 ms instead of 2.5 ms
+	slower := memtarget.Plan{Fault: memtarget.Straggle, Slowdown: 115}
 	rows := []struct {
 		name    string
 		plans   []memtarget.Plan
@@ -44,14 +44,14 @@
 		{"no other target has capacity: all frames of the straggler are accepted", []memtarget.Plan{slow}, true, 1, false, 6 * time.Second},
 		{"the other target breaks off before its first frame", []memtarget.Plan{slow, {Fault: memtarget.LostReply}}, false, 3, true, time.Second},
 		{"the other target breaks off after frames of the straggler were held back", []memtarget.Plan{slow, {Fault: memtarget.LostReply, Service: 6 * time.Second}}, false, 3, true, time.Second},
-		{"the straggler fails before the other target has sent a frame", []memtarget.Plan{{Fault: memtarget.LostReply, Slow: 100}, slower}, false, 3, true, 2 * time.Second},
+		{"the straggler fails before the other target has sent a frame", []memtarget.Plan{{Fault: memtarget.LostReply, Slowdown: 100}, slower}, false, 3, true, 2 * time.Second},
 		{"all other targets are as slow: the number of migrations is bounded", []memtarget.Plan{slow, slow, slow}, false, 3, true, 6 * time.Second},
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				w := newTestEnv(memtarget.Options{Plan: planInTurn(row.plans...)})
-				w.gate.timeouts.Usual = admission.Usual{FirstByte: 3 * time.Millisecond, PerToken: 2500 * time.Microsecond, Tokens: 20}
+				w.gate.timeouts.Typical = admission.Typical{FirstByte: 3 * time.Millisecond, PerToken: 2500 * time.Microsecond, Tokens: 20}
 				if row.refuse {
 					w.gate.refuse = refuseRepeats
 				}
@@ -82,13 +82,13 @@
 // informed of its pace only when streams end.
 func TestGateLearnsOfPaceWhileStreamRuns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newTestEnv(memtarget.Options{Plan: planInTurn(memtarget.Plan{Fault: memtarget.Straggle, Slow: 100})})
-		w.gate.timeouts.Usual = admission.Usual{FirstByte: 3 * time.Millisecond, PerToken: 2500 * time.Microsecond, Tokens: 20}
-		w.gate.refuse = func(want admission.Want) error {
-			if want.Repeat && len(w.gate.paces) == 0 {
+		w := newTestEnv(memtarget.Options{Plan: planInTurn(memtarget.Plan{Fault: memtarget.Straggle, Slowdown: 100})})
+		w.gate.timeouts.Typical = admission.Typical{FirstByte: 3 * time.Millisecond, PerToken: 2500 * time.Microsecond, Tokens: 20}
+		w.gate.refuse = func(want admission.SlotRequest) error {
+			if want.Retry && len(w.gate.paces) == 0 {
 				t.Error("a migration was requested before the gate was informed of the slow pace")
 			}
-			if want.Repeat {
+			if want.Retry {
 				return errkind.New(errkind.Overloaded, "no room")
 			}
 			return nil
@@ -106,7 +106,7 @@
 func TestStreamOfUsualPaceIsNotMigrated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newTestEnv(memtarget.Options{})
-		w.gate.timeouts.Usual = admission.Usual{FirstByte: 3 * time.Millisecond, PerToken: 2 * time.Millisecond, Tokens: 20}
+		w.gate.timeouts.Typical = admission.Typical{FirstByte: 3 * time.Millisecond, PerToken: 2 * time.Millisecond, Tokens: 20}
 		if _, err := w.runner.Run(t.Context(), w.request("draft", "k"), new(recorder)); err != nil {
 			t.Fatal(err)
 		}
@@ -121,9 +121,9 @@
 // before the other target has sent a frame.
 func TestStragglerCompletesBeforeReplacement(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		slow := memtarget.Plan{Fault: memtarget.Straggle, Slow: 15} // frames at 250, 500 and 750 ms
+		slow := memtarget.Plan{Fault: memtarget.Straggle, Slowdown: 15} // frames at 250, 500 and 750 ms
 		w := newTestEnv(memtarget.Options{Frames: 3, Plan: planInTurn(slow, memtarget.Plan{Service: 1450 * time.Millisecond})})
-		w.gate.timeouts.Usual = admission.Usual{FirstByte: 3 * time.Millisecond, PerToken: 2500 * time.Microsecond, Tokens: 20}
+		w.gate.timeouts.Typical = admission.Typical{FirstByte: 3 * time.Millisecond, PerToken: 2500 * time.Microsecond, Tokens: 20}
 		req := w.request("draft", "k")
 		sink := new(recorder)
 		out, err := w.runner.Run(t.Context(), req, sink)
@@ -168,7 +168,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newTestEnv(memtarget.Options{})
 		w.runner.opts.Caller = stallingCaller{Caller: w.fleet, clock: w.clock}
-		w.gate.timeouts.Usual = admission.Usual{FirstByte: 20 * time.Millisecond, PerToken: 20 * time.Millisecond, Tokens: 400}
+		w.gate.timeouts.Typical = admission.Typical{FirstByte: 20 * time.Millisecond, PerToken: 20 * time.Millisecond, Tokens: 400}
 		if _, err := w.runner.Run(t.Context(), w.request("draft", "k"), new(recorder)); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/pipeline/policy_test.go
+++ b/internal/pipeline/policy_test.go
@@ -20,11 +20,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newTestEnv(memtarget.Options{Plan: func(_ stagecall.Target, req targetapi.RunRequest) memtarget.Plan {
 			if req.Stage == stageDraft && req.Key != "good" {
-				return memtarget.Plan{Fault: memtarget.Die}
+				return memtarget.Plan{Fault: memtarget.Crash}
 			}
 			return memtarget.Plan{}
 		}})
-		w.gate.timeouts.HedgeAt = time.Millisecond
+		w.gate.timeouts.HedgeDelay = time.Millisecond
 		poison := w.request("draft", "poison")
 		if _, err := w.runner.Run(t.Context(), poison, nil); !errkind.Is(err, errkind.CrashesTargets) {
 			t.Errorf("first: %v", err)
@@ -120,7 +120,7 @@
 		}
 		w = newTestEnv(memtarget.Options{})
 		refused := false
-		w.gate.refuse = func(admission.Want) error {
+		w.gate.refuse = func(admission.SlotRequest) error {
 			if refused {
 				return nil
 			}
--- a/internal/pipeline/runner.go
+++ b/internal/pipeline/runner.go
@@ -120,7 +120,7 @@
 
 // runStages runs the stages in order and returns the output of the last one.
 func (x *execution) runStages() (json.RawMessage, error) {
-	if x.r.opts.Crash.Refused(x.fingerprint) {
+	if x.r.opts.CrashGuard.Refused(x.fingerprint) {
 		return nil, errkind.New(errkind.CrashesTargets, "targets died while running this request")
 	}
 	if x.remaining() <= 0 {
--- a/internal/pipeline/signals.go
+++ b/internal/pipeline/signals.go
@@ -27,10 +27,10 @@
 func (s *stageRun) onStarted(sig signal) {
 	a := sig.attempt
 	a.choice, a.started, a.begun = sig.choice, true, s.x.now()
-	a.slot, a.usual = sig.slot, sig.timeouts.Usual
-	if s.mayHedge() && sig.timeouts.HedgeAt > 0 {
+	a.slot, a.usual = sig.slot, sig.timeouts.Typical
+	if s.mayHedge() && sig.timeouts.HedgeDelay > 0 {
 		stopTimer(&s.hedgeTimer)
-		s.hedgeTimer = s.x.r.opts.Clock.NewTimer(sig.timeouts.HedgeAt)
+		s.hedgeTimer = s.x.r.opts.Clock.NewTimer(sig.timeouts.HedgeDelay)
 	}
 }
 
@@ -38,7 +38,7 @@
 // per stage, while there is no primary attempt, and never for a request that is
 // suspected of crashing targets.
 func (s *stageRun) mayHedge() bool {
-	return s.stage.Idempotent && !s.hedged && s.primary == nil && !s.x.r.opts.Crash.Suspect(s.x.fingerprint)
+	return s.stage.Idempotent && !s.hedged && s.primary == nil && !s.x.r.opts.CrashGuard.Suspected(s.x.fingerprint)
 }
 
 func (s *stageRun) launchHedge() {
@@ -92,7 +92,7 @@
 // arguments of the assertion are only evaluated when it fails, because they cost
 // six allocations per frame.
 func (s *stageRun) checkFrame(sig signal) bool {
-	check, frame := s.x.r.opts.Check, &sig.frame
+	check, frame := s.x.r.opts.Invariants, &sig.frame
 	if frame.RequestID != s.x.req.ID || frame.AttemptID != sig.attempt.id {
 		return check.Check(false, invariant.OwnAnswer, "received a frame of %s/%s in attempt %s", frame.RequestID, frame.AttemptID, sig.attempt.id)
 	}
--- a/internal/pipeline/stage.go
+++ b/internal/pipeline/stage.go
@@ -170,13 +170,13 @@
 		parent = s.x.work
 	}
 	ctx, cancel := context.WithCancelCause(parent)
-	want := admission.Want{
-		Query:    s.query(),
-		Priority: s.x.prof.Profile.Priority,
-		Provider: s.boundProvider(),
-		Repeat:   retry,
-		Fault:    fault,
-		NoWait:   hedge,
+	want := admission.SlotRequest{
+		Query:      s.query(),
+		Priority:   s.x.prof.Profile.Priority,
+		Provider:   s.boundProvider(),
+		Retry:      retry,
+		AfterFault: fault,
+		NoWait:     hedge,
 	}
 	a := &attempt{
 		s:      s,
@@ -212,7 +212,7 @@
 		Organisation: s.x.req.Organisation,
 		Key:          s.x.req.Key,
 		Prefix:       s.x.req.Prefix,
-		Place:        s.x.r.opts.Place,
+		Zone:         s.x.r.opts.Zone,
 		Region:       s.x.r.opts.Region,
 		Exclude:      s.excluded(),
 		Deadline:     s.queueDeadline(),
@@ -244,14 +244,14 @@
 	if s.allowExcluded {
 		return ids
 	}
-	return append(ids, s.x.r.opts.Crash.Occupied(s.x.fingerprint)...)
+	return append(ids, s.x.r.opts.CrashGuard.TargetsWithSuspects(s.x.fingerprint)...)
 }
 
 // beginDispatch is called by an attempt's goroutine immediately before the call.
 // It returns false if the call must not be made.
 func (s *stageRun) beginDispatch() bool {
 	allowed := s.stage.Idempotent || (s.claim != nil && !s.own.mayHaveRun())
-	if !s.x.r.opts.Check.Check(allowed, invariant.ClaimBeforeDispatch,
+	if !s.x.r.opts.Invariants.Check(allowed, invariant.ClaimBeforeDispatch,
 		"stage %s of request %s: dispatch without a claim, or second dispatch", s.stage.Name, s.x.req.ID) {
 		return false
 	}
