--- a/internal/relay/codec.go
+++ b/internal/relay/codec.go
@@ -18,44 +18,44 @@
 // Prompt describes the prompt of a request for a model engine, as stated in the
 // request.
 type Prompt struct {
-	Model     string
-	TokensIn  int
-	TokensOut int // maximum number of tokens to generate
-	LikelyOut int // caller's estimate of the number of generated tokens; 0 = none
-	Parts     []PromptPart
+	Model       string
+	TokensIn    int
+	TokensOut   int // maximum number of tokens to generate
+	ExpectedOut int // caller's estimate of the number of generated tokens; 0 = none
+	Parts       []PromptPart
 }
 
 // Request is a caller's request, independent of the wire format. Header holds
 // the fields that are forwarded to the target unchanged: no hop-by-hop fields,
 // no API key, and no field that the system sets itself.
 type Request struct {
-	ID        string        // id of the caller's attempt
-	Key       string        // API key; "" = none was sent
-	Wait      time.Duration // the caller's timeout; 0 = not stated
-	Method    string
-	Host      string
-	URI       string // path and query, byte for byte as sent
-	Path      string
-	Header    http.Header
-	Body      []byte
-	Prompt    *Prompt // nil unless the request names a model
-	Pieces    []int   // number of pieces of each stage; missing entries are 0
-	PieceKey  string
-	ResumedAt string // id of the last event that the caller received; "" = a new stream
+	ID          string        // id of the caller's attempt
+	Key         string        // API key; "" = none was sent
+	Timeout     time.Duration // the caller's timeout; 0 = not stated
+	Method      string
+	Host        string
+	URI         string // path and query, byte for byte as sent
+	Path        string
+	Header      http.Header
+	Body        []byte
+	Prompt      *Prompt // nil unless the request names a model
+	Pieces      []int   // number of pieces of each stage; missing entries are 0
+	PieceKey    string
+	LastEventID string // id of the last event that the caller received; "" = a new stream
 }
 
 // Call holds what the system adds to a request when it sends it to a target.
 type Call struct {
 	Target       fleet.Target
-	Left         time.Duration // time left until the caller's deadline; 0 = no deadline
+	Remaining    time.Duration // time left until the caller's deadline; 0 = no deadline
 	Organisation string        // "" = none
 	Inputs       []string      // stage results that the target fetches; nil = the request has no stages
 	Priority     int           // of the request; negative = not stated
-	ResumeAt     string        // id of the event to resume after; "" = from the start or as the caller's header says
+	ResumeAfter  string        // id of the event to resume after; "" = from the start or as the caller's header says
 }
 
-// Answer holds the fields of a target's response head that the system evaluates.
-type Answer struct {
+// ResponseHead holds the fields of a target's response head that the system evaluates.
+type ResponseHead struct {
 	ID     string // id of the attempt that the response belongs to; "" = not stated
 	Signed bool   // the response carries the target's signature
 	NotRun bool   // the target states that it has not run the request
@@ -69,26 +69,26 @@
 
 // Codec translates between HTTP messages and the types above. It is stateless.
 type Codec interface {
-	// Request parses the head of a caller's request; the ingress sets the body.
+	// ParseRequest parses the head of a caller's request; the ingress sets the body.
 	// The error describes what is malformed.
-	Request(r *http.Request) (*Request, error)
-	// Outgoing returns the header to send to a target with the request.
-	Outgoing(req *Request, call Call) http.Header
-	// Answer parses the head of a target's response.
-	Answer(r *http.Response) Answer
-	// Notice parses what the head of a target's response asks of the senders of
+	ParseRequest(r *http.Request) (*Request, error)
+	// OutgoingHeader returns the header to send to a target with the request.
+	OutgoingHeader(req *Request, call Call) http.Header
+	// ParseResponse parses the head of a target's response.
+	ParseResponse(r *http.Response) ResponseHead
+	// ParseNotice parses what the head of a target's response asks of the senders of
 	// requests (leaving, rate limit, pause). From a response of another target at
 	// the same address only that target's identity is taken.
-	Notice(status int, h http.Header) fleet.Notice
-	// AnswerHeader returns the header of a target's response without hop-by-hop
+	ParseNotice(status int, h http.Header) fleet.Notice
+	// ResponseHeader returns the header of a target's response without hop-by-hop
 	// fields, as it is forwarded to the caller.
-	AnswerHeader(h http.Header) http.Header
-	// Own sets the header of a response that the system generates itself.
+	ResponseHeader(h http.Header) http.Header
+	// SetOwnHeader sets the header of a response that the system generates itself.
 	// retryAfter is the delay after which the caller may retry; negative = not
 	// stated.
-	Own(h http.Header, req *Request, retryAfter time.Duration)
-	// Addresses encodes the response to an address query.
-	Addresses(addresses []string, ttl time.Duration) (contentType string, body []byte)
+	SetOwnHeader(h http.Header, req *Request, retryAfter time.Duration)
+	// EncodeAddresses encodes the response to an address query.
+	EncodeAddresses(addresses []string, ttl time.Duration) (contentType string, body []byte)
 	// EventID returns the id of the event in a block of a stream, without its
 	// line end, and whether the event has an id.
 	EventID(block []byte) (string, bool)
@@ -96,28 +96,28 @@
 
 // Piece is a piece of a stage as it is sent to a target.
 type Piece struct {
-	ID     string // id of the caller's attempt
-	Stage  int
-	Number int
-	Left   time.Duration // time left until the deadline; 0 = no deadline
-	Key    string        // set for a stage that needs no results
-	Inputs []string      // results of the preceding stages
+	ID        string // id of the caller's attempt
+	Stage     int
+	Number    int
+	Remaining time.Duration // time left until the deadline; 0 = no deadline
+	Key       string        // set for a stage that needs no results
+	Inputs    []string      // results of the preceding stages
 }
 
-// PieceFault is the reason why a piece has no result.
-type PieceFault int
+// PieceStatus is the reason why a piece has no result.
+type PieceStatus int
 
 // The values of PieceFault.
 const (
-	PieceMade  PieceFault = iota
-	PieceLate             // the deadline had passed when its turn came
-	PieceGone             // an input no longer exists
-	PieceRoom             // the target has no memory for the result
-	PieceError            // the target failed to process it, or the call broke off
+	PieceDone         PieceStatus = iota
+	PieceExpired                  // the deadline had passed when its turn came
+	PieceInputMissing             // an input no longer exists
+	PieceNoMemory                 // the target has no memory for the result
+	PieceError                    // the target failed to process it, or the call broke off
 )
 
 // String returns the fault as it is written to logs.
-func (f PieceFault) String() string {
+func (f PieceStatus) String() string {
 	return [...]string{"made", "late", "gone", "room", "error"}[f]
 }
 
@@ -125,14 +125,14 @@
 // it stores, or the reason why there is no result.
 type PieceResult struct {
 	Handle string
-	Fault  PieceFault
+	Status PieceStatus
 }
 
 // StageReport is the state that a stage target reports about itself.
 type StageReport struct {
-	Queued   int
-	Busy     bool
-	FreeRoom int64 // upper bound of the free memory for results, in bytes
+	Queued    int
+	Busy      bool
+	FreeBytes int64 // upper bound of the free memory for results, in bytes
 }
 
 // StageClient calls stage targets.
@@ -145,9 +145,9 @@
 	Free(ctx context.Context, address string, handles []string) error
 	// Report queries a target's StageReport.
 	Report(ctx context.Context, t fleet.Target) (StageReport, error)
-	// Kept queries which prompt parts a model engine has in its cache, in no
+	// CachedParts queries which prompt parts a model engine has in its cache, in no
 	// particular order. The query costs the engine some processing time.
-	Kept(ctx context.Context, engine fleet.Target) ([]PromptPart, error)
+	CachedParts(ctx context.Context, engine fleet.Target) ([]PromptPart, error)
 }
 
 // Decoder decodes the configuration from the format in the platform's store.
--- a/internal/report/html.go
+++ b/internal/report/html.go
@@ -99,7 +99,7 @@
 		Totals:      totalsOf(r, profiles),
 		Report:      r,
 		Comparisons: comparisonsOf(r.Costs),
-		Zones:       rowsOf(r, slo.ScopePlace),
+		Zones:       rowsOf(r, slo.ScopeZone),
 	}
 	if len(profiles) > 0 {
 		v.Class = statusOf(profiles[0]).class()
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -51,7 +51,7 @@
 			objectives[l.name] = l.objective
 		}
 		tracker := slo.New(slo.Options{
-			Clock: quartz.NewReal(), Instance: "lh-1", Place: "lac-a",
+			Clock: quartz.NewReal(), Instance: "lh-1", Zone: "lac-a",
 			Objectives: func(name string) float64 { return objectives[name] },
 		})
 		rng := rand.New(rand.NewPCG(1, 2))
@@ -73,7 +73,7 @@
 	s := slo.Sample{
 		Profile:      l.name,
 		Organisation: fmt.Sprintf("agency-%d", 1+min(rng.IntN(8), rng.IntN(8))),
-		Place:        []string{"lac-a", "lac-b", "charguia", "ariana"}[rng.IntN(4)],
+		Zone:         []string{"lac-a", "lac-b", "charguia", "ariana"}[rng.IntN(4)],
 		Attained:     true,
 	}
 	for i, name := range l.stages {
--- a/internal/report/text.go
+++ b/internal/report/text.go
@@ -22,7 +22,7 @@
 	t.linef("%s", headline(r))
 	t.linef("%s", coverage(r))
 	t.rows("PROFILE", byUrgency(rowsOf(r, slo.ScopeProfile)), 0)
-	t.rows("PLACE", rowsOf(r, slo.ScopePlace), 0)
+	t.rows("PLACE", rowsOf(r, slo.ScopeZone), 0)
 	t.rows("ORGANISATION", rowsOf(r, slo.ScopeOrganisation), shownOrganisations)
 	t.causes()
 	t.costs()
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -34,21 +34,21 @@
 
 // Route maps requests of a host and path to one or more services.
 type Route struct {
-	Name          string
-	Host          string
-	PathPrefix    string // begins and ends with "/"
-	Kind          Kind
-	Timeout       time.Duration // longest time that a caller waits for an answer; 0 = unlimited
-	TargetLatency time.Duration // latency objective of an answer, or of the first event of a stream
-	FirstWait     time.Duration // time after which callers abandon a stream without a first event; 0 = unknown
-	EventGap      time.Duration // objective for the longest pause between events of a stream
-	Priority      int           // 0 is the most urgent
-	Services      []WeightedService
-	MaxAttempts   int // number of targets that one request may be sent to
-	Stages        []Stage
-	Anonymous     bool // needs no key
-	Affinity      bool // requests carry prompt parts, see relay.Prompt
-	Resumable     bool // a stream may be resumed at another target
+	Name             string
+	Host             string
+	PathPrefix       string // begins and ends with "/"
+	Kind             Kind
+	Timeout          time.Duration // longest time that a caller waits for an answer; 0 = unlimited
+	LatencyObjective time.Duration // latency objective of an answer, or of the first event of a stream
+	AbandonAfter     time.Duration // time after which callers abandon a stream without a first event; 0 = unknown
+	EventGap         time.Duration // objective for the longest pause between events of a stream
+	Priority         int           // 0 is the most urgent
+	Services         []WeightedService
+	MaxAttempts      int // number of targets that one request may be sent to
+	Stages           []Stage
+	Anonymous        bool // needs no key
+	Affinity         bool // requests carry prompt parts, see relay.Prompt
+	Resumable        bool // a stream may be resumed at another target
 }
 
 // WeightedService is a service with its weight among the services of a route.
@@ -120,7 +120,7 @@
 	Batch          int           // maximum number of pieces in one call
 	CallTime       time.Duration // approximate fixed time of a call
 	ItemTime       time.Duration // approximate time of one piece
-	ResultRoom     int64         // memory for results, in bytes
+	ResultMemory   int64         // memory for results, in bytes
 	ResultLifetime time.Duration // how long after its call a result expires that is not freed
 }
 
@@ -186,12 +186,12 @@
 	return nil
 }
 
-// Keyed reports whether any organisation is declared. If none is, requests need
+// KeysRequired reports whether any organisation is declared. If none is, requests need
 // no key.
-func (t *Table) Keyed() bool { return len(t.Organisations) > 0 }
+func (t *Table) KeysRequired() bool { return len(t.Organisations) > 0 }
 
-// Holder returns the organisation that holds the key, or nil.
-func (t *Table) Holder(key string) *Organisation { return t.byKey[key] }
+// OrganisationByKey returns the organisation that holds the key, or nil.
+func (t *Table) OrganisationByKey(key string) *Organisation { return t.byKey[key] }
 
 // Priority returns the priority of a request of the route by the organisation,
 // which may be nil: the organisation's priority if it has one, else the route's.
--- a/internal/routing/bench_test.go
+++ b/internal/routing/bench_test.go
@@ -30,14 +30,14 @@
 	}
 }
 
-func modelPick(policy Policy) Pick {
+func modelPick(policy Policy) ChooseParams {
 	p := newPick(fixedView{})
 	p.Policy = policy
 	p.Provider = profile.Provider{Name: "p", Service: "pool", Model: "m4", Version: "1"}
 	return p
 }
 
-func benchChoose(b *testing.B, n int, p Pick) {
+func benchChoose(b *testing.B, n int, p ChooseParams) {
 	bd := newBoard(n, "a1", "a2", "a3", "a4", "b1", "b2", "b3")
 	for i := range n {
 		held := []targetapi.LoadedModel{
--- a/internal/routing/choose.go
+++ b/internal/routing/choose.go
@@ -19,13 +19,13 @@
 type Chooser struct {
 	Board  *board.Board
 	Index  *Index
-	Place  string
+	Zone   string
 	Region string
 	Tuning Tuning
 }
 
-// Pick holds the arguments of Chooser.Choose.
-type Pick struct {
+// ChooseParams holds the arguments of Chooser.Choose.
+type ChooseParams struct {
 	Query    *Query
 	Provider profile.Provider
 	Policy   Policy
@@ -33,7 +33,7 @@
 	View     LocalView
 	Rand     RandSource
 	Turn     uint64 // number of choices made for the service, for PolicyRoundRobin
-	Mean     Mean
+	Mean     ServiceMean
 }
 
 // Verdict is the result of a choice.
@@ -51,12 +51,12 @@
 	entry    *Entry
 	load     board.Load
 	reported bool
-	local    Local
+	local    LocalState
 	score    time.Duration // set only where candidates are compared
 }
 
 // Choose selects a target for the query from the provider's service.
-func (c *Chooser) Choose(p Pick) (Choice, Verdict) {
+func (c *Chooser) Choose(p ChooseParams) (Choice, Verdict) {
 	service := c.Index.Service(p.Provider.Service)
 	if service == nil {
 		return Choice{}, NoCandidate
@@ -68,7 +68,7 @@
 	return c.choice(&p, best), Chosen
 }
 
-func (c *Chooser) byPolicy(p *Pick, s *Service) (candidate, bool) {
+func (c *Chooser) byPolicy(p *ChooseParams, s *Service) (candidate, bool) {
 	switch p.Policy {
 	case PolicyRandom:
 		return c.drawOrScan(p, s.All)
@@ -81,14 +81,14 @@
 	}
 }
 
-func (c *Chooser) choice(p *Pick, best candidate) Choice {
+func (c *Chooser) choice(p *ChooseParams, best candidate) Choice {
 	return Choice{Target: best.entry.Target, Provider: p.Provider, Estimate: c.estimate(p, best)}
 }
 
 // fallback is used when no target is usable. It distinguishes a service whose
 // targets are full from one without candidates. If all candidates are ejected,
 // it chooses an ejected one with capacity, which is better than a refusal.
-func (c *Chooser) fallback(p *Pick, s *Service) (Choice, Verdict) {
+func (c *Chooser) fallback(p *ChooseParams, s *Service) (Choice, Verdict) {
 	verdict := NoCandidate
 	allEjected := true
 	var spare candidate
@@ -111,7 +111,7 @@
 
 // candidate reports whether the target is eligible for the call, whether or
 // not it has capacity.
-func (c *Chooser) candidate(p *Pick, e *Entry) (candidate, bool) {
+func (c *Chooser) candidate(p *ChooseParams, e *Entry) (candidate, bool) {
 	if kind := p.Query.Stage.Kind; kind != "" && e.Target.Kind != kind {
 		return candidate{}, false
 	}
@@ -144,7 +144,7 @@
 
 // usable returns the target as a candidate and reports whether it is eligible,
 // has capacity and is not ejected.
-func (c *Chooser) usable(p *Pick, e *Entry) (candidate, bool) {
+func (c *Chooser) usable(p *ChooseParams, e *Entry) (candidate, bool) {
 	cand, ok := c.candidate(p, e)
 	return cand, ok && !cand.local.Full && !cand.local.Ejected
 }
@@ -174,7 +174,7 @@
 }
 
 // estimate returns the expected time to completion.
-func (c *Chooser) estimate(p *Pick, cand candidate) time.Duration {
+func (c *Chooser) estimate(p *ChooseParams, cand candidate) time.Duration {
 	return c.completion(p, cand, 0)
 }
 
@@ -183,13 +183,13 @@
 // would rank two targets with second-old reports the same way, even when those
 // reports hardly matter any more, and all calls would go to the same few targets
 // until the next reports: worse than a random choice.
-func (c *Chooser) score(p *Pick, cand candidate) time.Duration {
+func (c *Chooser) score(p *ChooseParams, cand candidate) time.Duration {
 	return c.completion(p, cand, p.Rand.NormFloat64())
 }
 
 // completion returns the expected time to completion at a load that lies the
 // given number of standard deviations above the estimate.
-func (c *Chooser) completion(p *Pick, cand candidate, deviations float64) time.Duration {
+func (c *Chooser) completion(p *ChooseParams, cand candidate, deviations float64) time.Duration {
 	slots := cand.load.Report.Slots
 	if slots <= 0 {
 		slots = c.Tuning.DefaultSlots
@@ -204,7 +204,7 @@
 	return total + c.distance(cand.entry.Target)
 }
 
-func (c *Chooser) serviceTime(p *Pick, cand candidate) time.Duration {
+func (c *Chooser) serviceTime(p *ChooseParams, cand candidate) time.Duration {
 	switch {
 	case cand.local.Median > 0:
 		return cand.local.Median
@@ -222,8 +222,8 @@
 	switch {
 	case t.Region != c.Region:
 		return c.Tuning.RegionPenalty
-	case t.Place != c.Place:
-		return c.Tuning.PlacePenalty
+	case t.Zone != c.Zone:
+		return c.Tuning.ZonePenalty
 	default:
 		return 0
 	}
--- a/internal/routing/choose_test.go
+++ b/internal/routing/choose_test.go
@@ -16,16 +16,16 @@
 var start = time.Date(2026, 3, 1, 9, 0, 0, 0, time.UTC)
 
 // fixedView is a LocalView with fixed rows by target ID.
-type fixedView map[string]Local
+type fixedView map[string]LocalState
 
-func (v fixedView) Local(id string, _ board.Load, _ bool) Local { return v[id] }
+func (v fixedView) Local(id string, _ board.Load, _ bool) LocalState { return v[id] }
 
 func newBoard(n int, zones ...string) *board.Board {
 	b := board.New()
 	for i := range n {
 		id := fmt.Sprintf("t%03d", i)
 		zone := zones[i%len(zones)]
-		b.Targets.Put(id, board.Target{ID: id, Service: "pool", Kind: profile.KindGenerate, Place: zone, Region: "r" + zone[:1]})
+		b.Targets.Put(id, board.Target{ID: id, Service: "pool", Kind: profile.KindGenerate, Zone: zone, Region: "r" + zone[:1]})
 		putLoad(b, id, 0, start)
 	}
 	return b
@@ -37,11 +37,11 @@
 }
 
 func newChooser(b *board.Board) *Chooser {
-	return &Chooser{Board: b, Index: NewIndex(b), Place: "a1", Region: "ra", Tuning: DefaultTuning()}
+	return &Chooser{Board: b, Index: NewIndex(b), Zone: "a1", Region: "ra", Tuning: DefaultTuning()}
 }
 
-func newPick(view LocalView) Pick {
-	return Pick{
+func newPick(view LocalView) ChooseParams {
+	return ChooseParams{
 		Query:    &Query{Stage: profile.Stage{Name: "draft", Kind: profile.KindGenerate}},
 		Provider: profile.Provider{Name: "p", Service: "pool"},
 		Policy:   PolicyTwoChoices,
@@ -51,7 +51,7 @@
 	}
 }
 
-func counts(c *Chooser, p Pick, n int) map[string]int {
+func counts(c *Chooser, p ChooseParams, n int) map[string]int {
 	got := make(map[string]int)
 	for range n {
 		if choice, verdict := c.Choose(p); verdict == Chosen {
@@ -189,7 +189,7 @@
 		if target.Region != "ra" {
 			t.Errorf("%s of another region was chosen %d times", id, n)
 		}
-		if target.Place == "a1" {
+		if target.Zone == "a1" {
 			sameZone += n
 		}
 	}
@@ -199,7 +199,7 @@
 	view := fixedView{}
 	for id, target := range b.Targets.Snapshot() {
 		if target.Region == "ra" {
-			view[id] = Local{Full: true}
+			view[id] = LocalState{Full: true}
 		}
 	}
 	if got = counts(newChooser(b), newPick(view), 100); len(got) != 4 {
@@ -212,14 +212,14 @@
 // get far more than its share until its next report.
 func TestOutstandingAges(t *testing.T) {
 	load := board.Load{Report: targetapi.LoadReport{Running: 0, Slots: 8}}
-	mean := Mean{PerSlot: 0.75}
+	mean := ServiceMean{PerSlot: 0.75}
 	tuning := DefaultTuning()
-	fresh, _ := tuning.outstanding(load, 0, 8, 100*time.Millisecond, mean, Local{})
-	old, _ := tuning.outstanding(load, time.Second, 8, 100*time.Millisecond, mean, Local{})
+	fresh, _ := tuning.outstanding(load, 0, 8, 100*time.Millisecond, mean, LocalState{})
+	old, _ := tuning.outstanding(load, time.Second, 8, 100*time.Millisecond, mean, LocalState{})
 	if fresh != 0 || old < 5.9 {
 		t.Errorf("outstanding %g fresh and %g after ten service times, want 0 and about 6", fresh, old)
 	}
-	sent, _ := tuning.outstanding(load, time.Second, 8, 100*time.Millisecond, mean, Local{InFlight: 3, SentSince: 3})
+	sent, _ := tuning.outstanding(load, time.Second, 8, 100*time.Millisecond, mean, LocalState{InFlight: 3, SentSinceReport: 3})
 	if sent != old+3 {
 		t.Errorf("outstanding %g with three sent since, want %g", sent, old+3)
 	}
--- a/internal/routing/index.go
+++ b/internal/routing/index.go
@@ -97,7 +97,7 @@
 func (s *Service) group() {
 	sort.Slice(s.All, func(i, j int) bool { return s.All[i].Target.ID < s.All[j].Target.ID })
 	for _, e := range s.All {
-		s.byZone[e.Target.Place] = append(s.byZone[e.Target.Place], e)
+		s.byZone[e.Target.Zone] = append(s.byZone[e.Target.Zone], e)
 		s.byRegion[e.Target.Region] = append(s.byRegion[e.Target.Region], e)
 	}
 }
--- a/internal/routing/policies.go
+++ b/internal/routing/policies.go
@@ -8,13 +8,13 @@
 // of the whole region. Other regions are used only when this one has no usable
 // target. The draw from the region prevents a zone whose targets are slower or
 // fewer from being filled to its limits before others are used.
-func (c *Chooser) twoChoices(p *Pick, s *Service) (candidate, bool) {
+func (c *Chooser) twoChoices(p *ChooseParams, s *Service) (candidate, bool) {
 	if p.Query.Prefix != "" {
 		if preferred, ok := c.prefixTarget(p, s); ok {
 			return preferred, true
 		}
 	}
-	sameZone, region := s.byZone[c.Place], s.byRegion[c.Region]
+	sameZone, region := s.byZone[c.Zone], s.byRegion[c.Region]
 	best, found := c.drawBetter(p, sameZone, candidate{}, false)
 	best, found = c.drawBetter(p, sameZone, best, found)
 	best, found = c.drawBetter(p, region, best, found)
@@ -37,7 +37,7 @@
 
 // drawBetter draws a random usable target and returns it or best, whichever has
 // the lower score. found reports whether best is set.
-func (c *Chooser) drawBetter(p *Pick, from []*Entry, best candidate, found bool) (candidate, bool) {
+func (c *Chooser) drawBetter(p *ChooseParams, from []*Entry, best candidate, found bool) (candidate, bool) {
 	drawn, ok := c.drawUsable(p, from)
 	if !ok {
 		return best, found
@@ -50,7 +50,7 @@
 }
 
 // drawUsable returns a random usable target. It gives up after maxDraws draws.
-func (c *Chooser) drawUsable(p *Pick, from []*Entry) (candidate, bool) {
+func (c *Chooser) drawUsable(p *ChooseParams, from []*Entry) (candidate, bool) {
 	if len(from) == 0 {
 		return candidate{}, false
 	}
@@ -65,7 +65,7 @@
 // firstUsable scans the list from a random start and returns the first usable
 // target. It runs after random draws have failed, when few targets have capacity
 // and a comparison would gain little.
-func (c *Chooser) firstUsable(p *Pick, from []*Entry) (candidate, bool) {
+func (c *Chooser) firstUsable(p *ChooseParams, from []*Entry) (candidate, bool) {
 	if len(from) == 0 {
 		return candidate{}, false
 	}
@@ -79,14 +79,14 @@
 }
 
 // drawOrScan implements PolicyRandom.
-func (c *Chooser) drawOrScan(p *Pick, from []*Entry) (candidate, bool) {
+func (c *Chooser) drawOrScan(p *ChooseParams, from []*Entry) (candidate, bool) {
 	if cand, ok := c.drawUsable(p, from); ok {
 		return cand, true
 	}
 	return c.firstUsable(p, from)
 }
 
-func (c *Chooser) roundRobin(p *Pick, from []*Entry) (candidate, bool) {
+func (c *Chooser) roundRobin(p *ChooseParams, from []*Entry) (candidate, bool) {
 	for i := range from {
 		at := (p.Turn + uint64(i)) % uint64(len(from))
 		if cand, ok := c.usable(p, from[at]); ok {
@@ -96,7 +96,7 @@
 	return candidate{}, false
 }
 
-func (c *Chooser) leastInFlight(p *Pick, from []*Entry) (candidate, bool) {
+func (c *Chooser) leastInFlight(p *ChooseParams, from []*Entry) (candidate, bool) {
 	if len(from) == 0 {
 		return candidate{}, false
 	}
--- a/internal/routing/prefix.go
+++ b/internal/routing/prefix.go
@@ -20,7 +20,7 @@
 // usable and not loaded far above the mean. Targets that have the prefix cached
 // according to their cache events are preferred; the events are only a hint and
 // may be out of date.
-func (c *Chooser) prefixTarget(p *Pick, s *Service) (candidate, bool) {
+func (c *Chooser) prefixTarget(p *ChooseParams, s *Service) (candidate, bool) {
 	from := s.byRegion[c.Region]
 	if len(from) == 0 {
 		from = s.All
@@ -84,7 +84,7 @@
 // loadedAboveMean reports whether a target's load exceeds the bound for prefix
 // affinity. Without the bound, a popular prefix would overload one target while
 // others are idle.
-func (c *Chooser) loadedAboveMean(p *Pick, cand candidate) bool {
+func (c *Chooser) loadedAboveMean(p *ChooseParams, cand candidate) bool {
 	slots := cand.load.Report.Slots
 	if slots <= 0 {
 		slots = c.Tuning.DefaultSlots
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -15,7 +15,7 @@
 	Organisation string
 	Key          string   // request key: makes the choice of provider sticky where the organisation is unknown
 	Prefix       string   // prompt prefix for affinity; "" for none
-	Place        string   // availability zone of this instance
+	Zone         string   // availability zone of this instance
 	Region       string   // region of this instance
 	Exclude      []string // IDs of targets that this request must not use
 	Deadline     time.Time
--- a/internal/routing/score.go
+++ b/internal/routing/score.go
@@ -9,7 +9,7 @@
 
 // Tuning holds the parameters of the completion estimate.
 type Tuning struct {
-	PlacePenalty  time.Duration // added for a target in another zone of the region
+	ZonePenalty   time.Duration // added for a target in another zone of the region
 	RegionPenalty time.Duration // added for a target in another region
 	// BatchSlowdown is the extra time that a call takes on an engine whose slots
 	// are all in use, compared with an idle one, as a fraction of the service
@@ -32,7 +32,7 @@
 // DefaultTuning returns the default parameters.
 func DefaultTuning() Tuning {
 	return Tuning{
-		PlacePenalty:       3 * time.Millisecond,
+		ZonePenalty:        3 * time.Millisecond,
 		RegionPenalty:      60 * time.Millisecond,
 		BatchSlowdown:      0.25,
 		ReportDecay:        0.5,
@@ -42,27 +42,27 @@
 	}
 }
 
-// Local is the state of a target as this instance knows it from its own calls.
-type Local struct {
-	InFlight  int           // own attempts in flight
-	SentSince int           // of them, those begun after the time of the load report
-	Full      bool          // has no capacity for another call of this instance
-	Ejected   bool          // temporarily ejected as a straggler
-	Median    time.Duration // median service time, 0 until there are enough samples
+// LocalState is the state of a target as this instance knows it from its own calls.
+type LocalState struct {
+	InFlight        int           // own attempts in flight
+	SentSinceReport int           // of them, those begun after the time of the load report
+	Full            bool          // has no capacity for another call of this instance
+	Ejected         bool          // temporarily ejected as a straggler
+	Median          time.Duration // median service time, 0 until there are enough samples
 }
 
 // LocalView returns this instance's own view of a target. load is the target's
 // latest load report; reported is false if there is none.
 type LocalView interface {
-	Local(target string, load board.Load, reported bool) Local
+	Local(target string, load board.Load, reported bool) LocalState
 }
 
-// Mean is the mean load of a service; the estimate for a target converges to it
+// ServiceMean is the mean load of a service; the estimate for a target converges to it
 // as the target's load report ages.
-type Mean struct {
-	PerSlot float64       // outstanding calls per slot
-	Own     float64       // this instance's own calls in flight per target
-	Service time.Duration // median service time, 0 if unknown
+type ServiceMean struct {
+	PerSlot      float64       // outstanding calls per slot
+	OwnPerTarget float64       // this instance's own calls in flight per target
+	Service      time.Duration // median service time, 0 if unknown
 }
 
 // outstanding estimates the number of calls that a target holds now: this
@@ -73,10 +73,10 @@
 // Without the decay, the target whose old report shows the lowest load would
 // attract the calls of all instances until its next report. deviation is the
 // standard deviation of the estimate.
-func (t *Tuning) outstanding(load board.Load, age time.Duration, slots int, service time.Duration, mean Mean, local Local) (mid, deviation float64) {
-	ownThen := local.InFlight - local.SentSince
+func (t *Tuning) outstanding(load board.Load, age time.Duration, slots int, service time.Duration, mean ServiceMean, local LocalState) (mid, deviation float64) {
+	ownThen := local.InFlight - local.SentSinceReport
 	others := float64(max(load.Report.Running+load.Report.Queued-ownThen, 0))
-	expectedOthers := max(mean.PerSlot*float64(slots)-mean.Own, 0)
+	expectedOthers := max(mean.PerSlot*float64(slots)-mean.OwnPerTarget, 0)
 	decay := t.ReportDecay * float64(max(service, time.Millisecond))
 	weight := math.Exp(-float64(max(age, 0)) / decay)
 	return expectedOthers + (others-expectedOthers)*weight + float64(local.InFlight), othersDeviation(expectedOthers, weight)
--- a/internal/routing/simulation_test.go
+++ b/internal/routing/simulation_test.go
@@ -45,7 +45,7 @@
 
 type simInstance struct {
 	chooser *Chooser
-	pick    Pick
+	pick    ChooseParams
 	starts  [][]time.Duration // by target, of calls in flight
 	seen    []time.Duration   // time of the target's latest report
 	total   int               // calls in flight
@@ -53,12 +53,12 @@
 }
 
 // Local implements LocalView.
-func (in *simInstance) Local(id string, _ board.Load, _ bool) Local {
+func (in *simInstance) Local(id string, _ board.Load, _ bool) LocalState {
 	i := in.index[id]
-	l := Local{InFlight: len(in.starts[i])}
+	l := LocalState{InFlight: len(in.starts[i])}
 	for _, at := range in.starts[i] {
 		if at > in.seen[i] {
-			l.SentSince++
+			l.SentSinceReport++
 		}
 	}
 	return l
@@ -140,7 +140,7 @@
 	b := board.New()
 	for i := range tr.targets {
 		id := trialID(i)
-		b.Targets.Put(id, board.Target{ID: id, Service: "pool", Kind: profile.KindGenerate, Place: "a1", Region: "ra"})
+		b.Targets.Put(id, board.Target{ID: id, Service: "pool", Kind: profile.KindGenerate, Zone: "a1", Region: "ra"})
 	}
 	return b
 }
@@ -176,7 +176,7 @@
 	in := r.instances[n]
 	in.pick.Now = start.Add(now)
 	in.pick.Turn++
-	in.pick.Mean = Mean{PerSlot: float64(r.sum) / float64(r.slots*r.simulation.targets), Own: float64(in.total) / float64(r.simulation.targets), Service: r.service}
+	in.pick.Mean = ServiceMean{PerSlot: float64(r.sum) / float64(r.slots*r.simulation.targets), OwnPerTarget: float64(in.total) / float64(r.simulation.targets), Service: r.service}
 	choice, _ := in.chooser.Choose(in.pick)
 	t := in.index[choice.Target.ID]
 	in.total++
--- a/internal/serving/fakes_test.go
+++ b/internal/serving/fakes_test.go
@@ -36,10 +36,10 @@
 	f := &fixture{admitter: &fakeAdmitter{t: t}, runner: &fakeRunner{}, forward: &fakeForwarder{}, claimsUp: true, lost: make(chan struct{})}
 	f.server = New(Options{
 		Self: "self", Profiles: profiles, Admitter: f.admitter, Runner: f.runner,
-		Outcomes: outcome.NewRegistry(outcome.Options{}), Tickets: homes{}, Forward: f.forward, NotSent: errNotSent,
-		MayAdmit: func() error { return f.admit }, ClaimsUp: func() bool { return f.claimsUp },
-		Lost:    func() <-chan struct{} { return f.lost },
-		Refused: func(_ pipeline.Request, err error) { f.refused = append(f.refused, err) },
+		Outcomes: outcome.NewRegistry(outcome.Options{}), Tickets: homes{}, Forwarder: f.forward, ErrNotSent: errNotSent,
+		MayAdmit: func() error { return f.admit }, ClaimStoreUp: func() bool { return f.claimsUp },
+		TargetsLost: func() <-chan struct{} { return f.lost },
+		OnRefused:   func(_ pipeline.Request, err error) { f.refused = append(f.refused, err) },
 	})
 	return f
 }
@@ -63,7 +63,7 @@
 // homes implements Tickets: the ticket "lxt1.NAME" was issued by instance NAME.
 type homes struct{}
 
-func (homes) Home(ticket string) (string, bool) { return strings.CutPrefix(ticket, "lxt1.") }
+func (homes) Issuer(ticket string) (string, bool) { return strings.CutPrefix(ticket, "lxt1.") }
 
 // keyUnderTicket returns a key minted under a ticket of the instance.
 func keyUnderTicket(instance string) string { return claim.MintKey("lxt1."+instance, "k") }
@@ -81,11 +81,11 @@
 	mu sync.Mutex // guards the fields below
 
 	admitted, unreleased int
-	entries              []admission.Entry
+	entries              []admission.AdmitRequest
 	refuse               error
 }
 
-func (d *fakeAdmitter) Admit(_ context.Context, entry admission.Entry) (func(), error) {
+func (d *fakeAdmitter) Admit(_ context.Context, entry admission.AdmitRequest) (func(), error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.refuse != nil {
--- a/internal/serving/serving.go
+++ b/internal/serving/serving.go
@@ -30,9 +30,9 @@
 
 // Tickets parses tickets.
 type Tickets interface {
-	// Home returns the instance that issued the ticket; ok is false if it is
+	// Issuer returns the instance that issued the ticket; ok is false if it is
 	// malformed.
-	Home(ticket string) (instance string, ok bool)
+	Issuer(ticket string) (instance string, ok bool)
 }
 
 // Forwarder forwards a request to another instance and returns its outcome.
@@ -42,28 +42,28 @@
 
 // Options are the dependencies of a Server.
 type Options struct {
-	Self     string // id of this instance
-	Profiles func(name string) (profile.Versioned, bool)
-	Admitter admission.Admitter
-	Runner   Runner
-	Outcomes Outcomes
-	Tickets  Tickets
-	Forward  Forwarder
-	// NotSent is wrapped by a Forwarder's error if the request was not sent
+	Self      string // id of this instance
+	Profiles  func(name string) (profile.Versioned, bool)
+	Admitter  admission.Admitter
+	Runner    Runner
+	Outcomes  Outcomes
+	Tickets   Tickets
+	Forwarder Forwarder
+	// ErrNotSent is wrapped by a Forwarder's error if the request was not sent
 	// because the other instance could not be reached.
-	NotSent error
+	ErrNotSent error
 	// MayAdmit returns nil if this instance accepts new requests, otherwise the
 	// reason.
 	MayAdmit func() error
-	// ClaimsUp reports whether the store that holds claims is available.
-	ClaimsUp func() bool
-	// Lost returns a channel that is closed when this instance is found to be
+	// ClaimStoreUp reports whether the store that holds claims is available.
+	ClaimStoreUp func() bool
+	// TargetsLost returns a channel that is closed when this instance is found to be
 	// disconnected from its targets. A nil function means that this is never
 	// detected.
-	Lost func() <-chan struct{}
-	// Refused is called for requests that are refused before they reach the
+	TargetsLost func() <-chan struct{}
+	// OnRefused is called for requests that are refused before they reach the
 	// Runner because claims cannot be recorded or admission refuses them.
-	Refused func(req pipeline.Request, err error)
+	OnRefused func(req pipeline.Request, err error)
 }
 
 // Server serves requests, or forwards them to their home.
@@ -100,12 +100,12 @@
 // the deadline. A claimed stage that was already dispatched continues, so that
 // its outcome is recorded; the claim keeps a resend from running it again.
 func (s *Server) serveWhileTargetsReachable(ctx context.Context, req pipeline.Request, prof profile.Versioned, sink pipeline.Sink) (pipeline.Outcome, error) {
-	if s.opts.Lost == nil {
+	if s.opts.TargetsLost == nil {
 		return s.serveLocally(ctx, req, prof, sink)
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	lost := s.opts.Lost()
+	lost := s.opts.TargetsLost()
 	go func() {
 		select {
 		case <-lost:
@@ -136,8 +136,8 @@
 // OutcomeUnknown: "not run" would be true for this call, but perhaps not for an
 // earlier one with the same key.
 func (s *Server) forward(ctx context.Context, home string, req pipeline.Request, sink pipeline.Sink) (pipeline.Outcome, error) {
-	out, err := s.opts.Forward.Forward(ctx, home, req, sink)
-	if err != nil && errors.Is(err, s.opts.NotSent) {
+	out, err := s.opts.Forwarder.Forward(ctx, home, req, sink)
+	if err != nil && errors.Is(err, s.opts.ErrNotSent) {
 		return out, errkind.New(errkind.OutcomeUnknown, "instance %s, to which the key belongs, cannot be reached", home)
 	}
 	return out, err
@@ -173,7 +173,7 @@
 	if !ok {
 		return "", false
 	}
-	home, ok := s.opts.Tickets.Home(ticket)
+	home, ok := s.opts.Tickets.Issuer(ticket)
 	return home, ok && home != s.opts.Self
 }
 
@@ -187,7 +187,7 @@
 // run". A caller that is refused immediately can retry later, or use a key under a
 // ticket, which needs no claim in the store.
 func (s *Server) checkClaimStore(req pipeline.Request, prof profile.Versioned) error {
-	if _, ticketed := claim.TicketOf(req.Key); ticketed || s.opts.ClaimsUp() {
+	if _, ticketed := claim.TicketOf(req.Key); ticketed || s.opts.ClaimStoreUp() {
 		return nil
 	}
 	if stage := firstNonIdempotentStage(prof); stage != "" {
@@ -210,17 +210,17 @@
 
 func (s *Server) serveLocally(ctx context.Context, req pipeline.Request, prof profile.Versioned, sink pipeline.Sink) (pipeline.Outcome, error) {
 	if err := s.checkClaimStore(req, prof); err != nil {
-		s.opts.Refused(req, err)
+		s.opts.OnRefused(req, err)
 		return pipeline.Outcome{}, err
 	}
-	release, err := s.opts.Admitter.Admit(ctx, admission.Entry{
+	release, err := s.opts.Admitter.Admit(ctx, admission.AdmitRequest{
 		Organisation: req.Organisation,
 		Profile:      req.Profile,
 		Priority:     prof.Profile.Priority,
 		Deadline:     req.Deadline,
 	})
 	if err != nil {
-		s.opts.Refused(req, err)
+		s.opts.OnRefused(req, err)
 		return pipeline.Outcome{}, err
 	}
 	if !req.KeyGiven {
--- a/internal/slo/bench_test.go
+++ b/internal/slo/bench_test.go
@@ -19,7 +19,7 @@
 	s := Sample{
 		Profile:      fmt.Sprintf("profile-%d", i%9),
 		Organisation: fmt.Sprintf("organisation-%d", i*7919%organisations),
-		Place:        "lac-a",
+		Zone:         "lac-a",
 		Attained:     i%100 != 0,
 		Total:        time.Duration(200+i%900) * time.Millisecond,
 		FirstToken:   time.Duration(50+i%100) * time.Millisecond,
@@ -33,7 +33,7 @@
 }
 
 func benchTracker(organisations, requests int) *Tracker {
-	t := New(Options{Clock: quartz.NewReal(), Instance: "a", Place: "lac-a"})
+	t := New(Options{Clock: quartz.NewReal(), Instance: "a", Zone: "lac-a"})
 	for i := range requests {
 		t.Observe(benchSample(i, organisations))
 	}
--- a/internal/slo/fleet.go
+++ b/internal/slo/fleet.go
@@ -66,7 +66,7 @@
 }
 
 // Gossip returns the tracker's part of the heartbeats.
-func (t *Tracker) Gossip() gossip.Part { return t.fleet }
+func (t *Tracker) Gossip() gossip.Participant { return t.fleet }
 
 // Fill implements gossip.Part. It adds this instance's counts of the windows
 // that have not been sent to the receiver yet, newest first.
--- a/internal/slo/local.go
+++ b/internal/slo/local.go
@@ -10,7 +10,7 @@
 // Scopes of a report row.
 const (
 	ScopeProfile      = "profile"
-	ScopePlace        = "place"
+	ScopeZone         = "place"
 	ScopeOrganisation = "organisation"
 )
 
@@ -61,7 +61,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for name, c := range s.byName {
-		report.Rows = append(report.Rows, t.rowOf(ScopePlace, name, c, now, window))
+		report.Rows = append(report.Rows, t.rowOf(ScopeZone, name, c, now, window))
 	}
 }
 
--- a/internal/slo/merge.go
+++ b/internal/slo/merge.go
@@ -120,7 +120,7 @@
 }
 
 // scopeOrder is the sort order of the scopes in a report.
-var scopeOrder = map[string]int{ScopeProfile: 0, ScopePlace: 1, ScopeOrganisation: 2}
+var scopeOrder = map[string]int{ScopeProfile: 0, ScopeZone: 1, ScopeOrganisation: 2}
 
 // sortRows sorts profiles and zones by name, and organisations by misses and
 // then by requests, both descending, with "other" last.
--- a/internal/slo/merge_test.go
+++ b/internal/slo/merge_test.go
@@ -31,7 +31,7 @@
 	steps := make([]step, count)
 	for i := range steps {
 		s := answered(fmt.Sprintf("p%d", rng.IntN(3)), fmt.Sprintf("o%d", rng.IntN(6)), time.Duration(1+rng.IntN(5000))*time.Millisecond)
-		s.Place = fmt.Sprintf("place-%d", rng.IntN(2))
+		s.Zone = fmt.Sprintf("place-%d", rng.IntN(2))
 		s.FirstToken = s.Total / 4
 		s.Stages = []pipeline.StageReport{{Stage: "draft", Provider: "old", Target: "t", Attempts: 1, Cost: 2, Tokens: 3, Duration: s.Total}}
 		if rng.IntN(5) == 0 {
--- a/internal/slo/slo.go
+++ b/internal/slo/slo.go
@@ -65,7 +65,7 @@
 	// a trim; the table grows to twice as many between two trims.
 	MaxOrganisations int
 	Instance         string
-	Place            string
+	Zone             string
 	Logger           *event.Logger
 	Metrics          *metrics.Registry
 }
@@ -88,7 +88,7 @@
 type Sample struct {
 	Profile      string
 	Organisation string
-	Place        string // of the instance that answered; default Options.Place
+	Zone         string // of the instance that answered; default Options.Place
 	// Attained reports whether the whole answer was delivered before the deadline.
 	Attained bool
 	// Err is why the answer is missing or incomplete; its errkind is the cause.
@@ -127,7 +127,7 @@
 		objectives: opts.Objectives,
 		windows:    opts.Windows,
 		instance:   opts.Instance,
-		zone:       opts.Place,
+		zone:       opts.Zone,
 		started:    opts.Clock.Now(),
 		logger:     opts.Logger,
 		requests:   opts.Metrics.Counter(metricRequests),
@@ -150,11 +150,11 @@
 // has ended; rejected requests are observed too.
 func (t *Tracker) Observe(s Sample) {
 	now := t.clock.Now()
-	defaults.Set(&s.Place, t.zone)
+	defaults.Set(&s.Zone, t.zone)
 	o := t.observationOf(s)
 	t.count(o)
 	t.profiles[shardOf(s.Profile)].observe(now, t.windows, s, o)
-	t.zones[shardOf(s.Place)].observe(now, t.windows, s.Place, o)
+	t.zones[shardOf(s.Zone)].observe(now, t.windows, s.Zone, o)
 	t.organisations[shardOf(s.Organisation)].observe(now, s.Organisation, o)
 }
 
--- a/internal/slo/slo_test.go
+++ b/internal/slo/slo_test.go
@@ -22,7 +22,7 @@
 		Clock:      quartz.NewReal(),
 		Objectives: func(string) float64 { return 0.9 },
 		Instance:   instance,
-		Place:      "lac-a",
+		Zone:       "lac-a",
 		Metrics:    metrics.NewRegistry(),
 	})
 }
@@ -68,7 +68,7 @@
 			t.Fatalf("causes %+v", report.Causes)
 		}
 		for _, scope := range []struct{ scope, name string }{
-			{ScopeProfile, "check"}, {ScopeOrganisation, "agency"}, {ScopePlace, "lac-a"},
+			{ScopeProfile, "check"}, {ScopeOrganisation, "agency"}, {ScopeZone, "lac-a"},
 		} {
 			row := rowNamed(t, report, scope.scope, scope.name)
 			if row.Total != 100 || row.Attained != 95 || row.Excluded != 1 {
--- a/internal/stagecall/memtarget/call.go
+++ b/internal/stagecall/memtarget/call.go
@@ -30,7 +30,7 @@
 	switch c.plan.Fault {
 	case Silent:
 		return stagecall.Result{}, c.waitSilently()
-	case Die:
+	case Crash:
 		if err := c.wait(c.service()/2, c.opts.FirstByte); err != nil {
 			return stagecall.Result{}, err
 		}
@@ -64,7 +64,7 @@
 	if c.plan.Fault != Straggle {
 		return service
 	}
-	slowdown := c.plan.Slow
+	slowdown := c.plan.Slowdown
 	if slowdown <= 0 {
 		slowdown = defaultSlowdown
 	}
--- a/internal/stagecall/memtarget/fault.go
+++ b/internal/stagecall/memtarget/fault.go
@@ -35,7 +35,7 @@
 	// Fail: the target runs the request and replies that it failed.
 	Fail
 	// Die: the target's process crashes; all its calls in progress break.
-	Die
+	Crash
 	faultCount
 )
 
@@ -65,10 +65,10 @@
 type Plan struct {
 	Fault      Fault
 	AfterBytes int     // for faults within the response: bytes of this call's response that are sent before the fault
-	Slow       float64 // for Straggle: factor of the service time; 0 = 20
+	Slowdown   float64 // for Straggle: factor of the service time; 0 = 20
 	Code       string  // for Refuse; "" = busy
-	// OldConnection restricts Silent to calls that may use a pooled connection,
+	// PooledConnectionOnly restricts Silent to calls that may use a pooled connection,
 	// as when a middlebox has dropped the connection's state.
-	OldConnection bool
-	Service       time.Duration // service time of the whole call; 0 = Options.Service
+	PooledConnectionOnly bool
+	Service              time.Duration // service time of the whole call; 0 = Options.Service
 }
--- a/internal/stagecall/memtarget/memtarget.go
+++ b/internal/stagecall/memtarget/memtarget.go
@@ -31,9 +31,9 @@
 	// Plan returns the plan of each call; nil plans no faults. It is called
 	// from many goroutines, with the fleet's lock held.
 	Plan func(target stagecall.Target, req targetapi.RunRequest) Plan
-	// Marker is a byte sequence that crashes the target that runs an input with
+	// CrashMarker is a byte sequence that crashes the target that runs an input with
 	// it; "" = none.
-	Marker string
+	CrashMarker string
 	// RestartAfter is how long a crashed target is down; 0 = it never restarts.
 	RestartAfter time.Duration
 	Service      time.Duration
@@ -101,8 +101,8 @@
 	return f.calls
 }
 
-// Deaths returns how often the target crashed.
-func (f *Fleet) Deaths(id string) int {
+// Crashes returns how often the target crashed.
+func (f *Fleet) Crashes(id string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if h := f.processes[id]; h != nil {
@@ -153,7 +153,7 @@
 	if ctx.Err() != nil {
 		return stagecall.Result{}, &stagecall.Failure{Class: stagecall.ClassCancelled, NotRun: true, Err: ctx.Err()}
 	}
-	if plan.Fault == Silent && plan.OldConnection && opts.NewConnection {
+	if plan.Fault == Silent && plan.PooledConnectionOnly && opts.NewConnection {
 		plan.Fault = None
 	}
 	if plan.Fault == Refuse {
@@ -192,8 +192,8 @@
 	if f.opts.Plan != nil {
 		plan = f.opts.Plan(target, req)
 	}
-	if f.opts.Marker != "" && bytes.Contains(req.Input, []byte(f.opts.Marker)) {
-		plan.Fault = Die
+	if f.opts.CrashMarker != "" && bytes.Contains(req.Input, []byte(f.opts.CrashMarker)) {
+		plan.Fault = Crash
 	}
 	return plan, h
 }
--- a/internal/stagecall/stagecall.go
+++ b/internal/stagecall/stagecall.go
@@ -97,10 +97,10 @@
 	Class  FailureClass
 	Code   string // refusal code sent by the target, if any
 	NotRun bool   // true only if the target cannot have run any part of the request
-	// Connection reports that the connection was lost or did not respond, which
+	// ConnectionLost reports that the connection was lost or did not respond, which
 	// says nothing about the state of the target.
-	Connection bool
-	Err        error
+	ConnectionLost bool
+	Err            error
 }
 
 // Error implements error.
--- a/internal/stagework/admit.go
+++ b/internal/stagework/admit.go
@@ -79,7 +79,7 @@
 // large reports whether the unit's results take a significant share of a
 // target's result memory.
 func (u *workUnit) large() bool {
-	return float64(int64(len(u.pieces))*u.resultBytes) > largeShare*float64(u.service.limits.ResultRoom)
+	return float64(int64(len(u.pieces))*u.resultBytes) > largeShare*float64(u.service.limits.ResultMemory)
 }
 
 // deferred reports whether the unit should wait: its results are large, only
--- a/internal/stagework/ask.go
+++ b/internal/stagework/ask.go
@@ -30,7 +30,7 @@
 	}
 	for _, v := range p.byName {
 		for _, s := range v.byID {
-			if !d.o.Bounds.restricted(s.info.ID) {
+			if !d.o.RateLimits.restricted(s.info.ID) {
 				go d.queryFreeMemory(s, s.info)
 			}
 		}
@@ -38,7 +38,7 @@
 	for _, name := range slices.Sorted(maps.Keys(p.pools)) {
 		o := p.pools[name]
 		for _, e := range o.byID {
-			if !d.o.Bounds.restricted(e.info.ID) {
+			if !d.o.RateLimits.restricted(e.info.ID) {
 				go d.queryCachedParts(o, e, e.info)
 			}
 		}
@@ -55,14 +55,14 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	s.applyReport(report.FreeRoom, d.o.Clock.Now())
+	s.applyReport(report.FreeBytes, d.o.Clock.Now())
 }
 
 // queryCachedParts asks an engine which prompt parts it has cached.
 func (d *Dispatcher) queryCachedParts(o *pool, e *engine, target fleet.Target) {
 	ctx, cancel := context.WithTimeout(d.ctx, reportTimeout)
 	defer cancel()
-	parts, err := d.o.Client.Kept(ctx, target)
+	parts, err := d.o.Client.CachedParts(ctx, target)
 	if err != nil {
 		return
 	}
--- a/internal/stagework/bench_test.go
+++ b/internal/stagework/bench_test.go
@@ -22,8 +22,8 @@
 
 func benchJob(n int, now time.Time) Job {
 	return Job{
-		ID: fmt.Sprintf("job %04d", n), Aim: now.Add(20 * time.Second), Deadline: now.Add(time.Minute), Stages: benchStages,
-		Pieces: []int{3, 1}, Service: "lm", Place: "p0", Prompt: benchPrompt(n), Priority: n % 3,
+		ID: fmt.Sprintf("job %04d", n), OnTimeUntil: now.Add(20 * time.Second), Deadline: now.Add(time.Minute), Stages: benchStages,
+		Pieces: []int{3, 1}, Service: "lm", Zone: "p0", Prompt: benchPrompt(n), Priority: n % 3,
 	}
 }
 
@@ -34,7 +34,7 @@
 	table.Services["enc"] = &route.Service{Name: "enc", Pieces: &enc}
 	for n := range targets {
 		id := fmt.Sprintf("enc%02d", n)
-		list = append(list, fleet.Target{ID: id, Service: "enc", Address: id, Place: fmt.Sprint("p", n%2)})
+		list = append(list, fleet.Target{ID: id, Service: "enc", Address: id, Zone: fmt.Sprint("p", n%2)})
 	}
 	p := NewPlanner(func(string, []string) {})
 	p.SetTargets(table, fleet.NewView(1, list))
@@ -91,7 +91,7 @@
 					for j := range p.jobs {
 						j.late = false
 						if overload {
-							j.Aim = now.Add(300 * time.Millisecond)
+							j.OnTimeUntil = now.Add(300 * time.Millisecond)
 						}
 					}
 					if j, _ := p.submit(benchJob(jobs, now), func(Placement, *Refusal) {}, now); j != nil {
--- a/internal/stagework/bounds.go
+++ b/internal/stagework/bounds.go
@@ -27,41 +27,41 @@
 	Pause(target string) time.Time
 }
 
-// Bounds are the rate limits of targets, which apply in addition to their
+// RateLimits are the rate limits of targets, which apply in addition to their
 // slots. Requests to engines are sent by the owners of jobs, calls of stage
 // targets by the dispatcher itself.
-type Bounds struct {
+type RateLimits struct {
 	Self    string        // ID of the dispatcher's instance
 	Cold    RateShares    // shares of engines that have just started; nil = cold engines are not limited
 	Limited RateShares    // shares of targets that announce a limit; nil if Asks is nil
-	Asks    TargetNotices // nil = targets announce nothing
+	Notices TargetNotices // nil = targets announce nothing
 }
 
 // limit returns the rate limit that the target announces.
-func (b Bounds) limit(target string) (rate float64, named bool) {
-	if b.Asks == nil {
+func (b RateLimits) limit(target string) (rate float64, named bool) {
+	if b.Notices == nil {
 		return 0, false
 	}
-	return b.Asks.Limit(target)
+	return b.Notices.Limit(target)
 }
 
 // pause returns the time until which the target accepts nothing from this
 // instance.
-func (b Bounds) pause(target string) time.Time {
-	if b.Asks == nil {
+func (b RateLimits) pause(target string) time.Time {
+	if b.Notices == nil {
 		return time.Time{}
 	}
-	return b.Asks.Pause(target)
+	return b.Notices.Pause(target)
 }
 
 // restricted reports whether the target announces a limit or a pause.
-func (b Bounds) restricted(target string) bool {
+func (b RateLimits) restricted(target string) bool {
 	_, named := b.limit(target)
 	return named || !b.pause(target).IsZero()
 }
 
 // window returns an empty count of requests to a target that announces a limit.
-func (b Bounds) window() allowance.Window {
+func (b RateLimits) window() allowance.Window {
 	if b.Limited == nil {
 		return allowance.Window{}
 	}
@@ -70,7 +70,7 @@
 
 // exhausted reports whether the instance has used up its share of the target's
 // limit, if there is one, given the requests sent.
-func (b Bounds) exhausted(instance, target string, sent *allowance.Window, now time.Time) bool {
+func (b RateLimits) exhausted(instance, target string, sent *allowance.Window, now time.Time) bool {
 	rate, named := b.limit(target)
 	return named && sent.Count(instance, now) >= b.Limited.Share(instance, target, rate)
 }
--- a/internal/stagework/bounds_test.go
+++ b/internal/stagework/bounds_test.go
@@ -25,7 +25,7 @@
 	table, targets := engines(n)
 	table.Services["lm"].ColdRate = rate
 	for i := range targets {
-		targets[i].Place = "p0"
+		targets[i].Zone = "p0"
 		if i < cold {
 			targets[i].ColdUntil = c.now.Add(3 * time.Second)
 		}
@@ -52,7 +52,7 @@
 	c.now = c.now.Add(allowance.ColdSpan)
 	all := 0
 	for k := range 20 {
-		in := Job{ID: fmt.Sprint("o", k), Owner: fmt.Sprint("i-", k), Service: "lm", Aim: c.now.Add(time.Second), Deadline: c.now.Add(time.Minute)}
+		in := Job{ID: fmt.Sprint("o", k), Owner: fmt.Sprint("i-", k), Service: "lm", OnTimeUntil: c.now.Add(time.Second), Deadline: c.now.Add(time.Minute)}
 		if _, refusal := c.submit(in, func(p Placement, _ *Refusal) {
 			if p.Target == "lm0" {
 				all++
@@ -76,7 +76,7 @@
 		t.Fatalf("the first job was placed on %q", id)
 	}
 	var later *Refusal
-	in := Job{ID: "second", Service: "lm", Aim: c.now.Add(time.Second), Deadline: c.now.Add(time.Minute)}
+	in := Job{ID: "second", Service: "lm", OnTimeUntil: c.now.Add(time.Second), Deadline: c.now.Add(time.Minute)}
 	_, refusal := c.submit(in, func(_ Placement, r *Refusal) { later = r }, c.now)
 	c.plan(c.now)
 	if refusal == nil && (later == nil || later.Reason != ReasonNoTarget) {
@@ -146,7 +146,7 @@
 	c := coldChooser(t, 2, 0, 0)
 	asks := fixedLimits{}
 	for _, o := range c.pools {
-		o.bounds = Bounds{Limited: twoRequestShares{}, Asks: asks}
+		o.bounds = RateLimits{Limited: twoRequestShares{}, Notices: asks}
 		for _, e := range o.engines {
 			e.limitWindow = o.bounds.window()
 		}
@@ -190,7 +190,7 @@
 			}
 		}
 		w.d.mu.Lock()
-		w.d.o.Bounds = Bounds{Self: "self", Limited: twoRequestShares{}, Asks: fixedLimits{limited: 1}}
+		w.d.o.RateLimits = RateLimits{Self: "self", Limited: twoRequestShares{}, Notices: fixedLimits{limited: 1}}
 		for _, p := range w.d.planners {
 			t.Fatal("a planner already exists", p.cell)
 		}
--- a/internal/stagework/cells.go
+++ b/internal/stagework/cells.go
@@ -19,13 +19,13 @@
 // of requests and targets that it schedules, so a single instance cannot serve
 // a large deployment. Results also stay within the cell's zones.
 type Cell struct {
-	Places []string // zones, sorted; nil = all
+	Zones []string // zones, sorted; nil = all
 	// Weight is the cell's share of the scarcest service.
 	Weight float64
 }
 
 // Name identifies the cell among instances.
-func (c Cell) Name() string { return strings.Join(c.Places, ",") }
+func (c Cell) Name() string { return strings.Join(c.Zones, ",") }
 
 // among reports whether the cell is one of the cells.
 func (c Cell) among(cells []Cell) bool {
@@ -52,7 +52,7 @@
 	for _, zone := range zones {
 		zonesLeft = append(zonesLeft, zone)
 		if hasMinTargets(counts, zonesLeft, services) {
-			cells = append(cells, Cell{Places: zonesLeft})
+			cells = append(cells, Cell{Zones: zonesLeft})
 			zonesLeft = nil
 		}
 	}
@@ -60,9 +60,9 @@
 		return []Cell{{Weight: 1}}
 	}
 	last := &cells[len(cells)-1]
-	last.Places = append(last.Places, zonesLeft...)
+	last.Zones = append(last.Zones, zonesLeft...)
 	for i := range cells {
-		cells[i].Weight = capacityShare(counts, cells[i].Places, services)
+		cells[i].Weight = capacityShare(counts, cells[i].Zones, services)
 	}
 	return cells
 }
@@ -75,10 +75,10 @@
 			continue
 		}
 		for _, t := range view.Ready(name) {
-			if counts[t.Place] == nil {
-				counts[t.Place] = make(map[string]int)
+			if counts[t.Zone] == nil {
+				counts[t.Zone] = make(map[string]int)
 			}
-			counts[t.Place][name]++
+			counts[t.Zone][name]++
 		}
 	}
 	return counts
@@ -151,12 +151,12 @@
 
 // within returns the targets of the view in the cell's zones.
 func (c Cell) within(view *fleet.View) *fleet.View {
-	if c.Places == nil {
+	if c.Zones == nil {
 		return view
 	}
 	var inside []fleet.Target
 	for _, t := range view.All() {
-		if slices.Contains(c.Places, t.Place) {
+		if slices.Contains(c.Zones, t.Zone) {
 			inside = append(inside, t)
 		}
 	}
--- a/internal/stagework/choice.go
+++ b/internal/stagework/choice.go
@@ -23,7 +23,7 @@
 // of the engine that will read its results. The target may be busy if there is
 // time to wait for it. nil means that waiting is better than any target.
 func (p *Planner) pickTarget(r *round, u *workUnit) *candidate {
-	last := u.job.Aim.Add(-p.downstream(u) - waitMargin)
+	last := u.job.OnTimeUntil.Add(-p.downstream(u) - waitMargin)
 	engineZone := ""
 	if len(u.dependents) == 0 {
 		engineZone = p.preferredZone(u.job, r.now)
@@ -44,7 +44,7 @@
 	bytes := 0.0
 	for _, a := range u.inputs {
 		for _, q := range a.pieces {
-			if q.state == pieceDone && q.target.info.Place != zone {
+			if q.state == pieceDone && q.target.info.Zone != zone {
 				bytes += float64(a.resultBytes) * float64(u.waiting)
 			}
 		}
@@ -63,7 +63,7 @@
 	for _, u := range j.finalUnits {
 		for _, q := range u.pieces {
 			if q.target != nil && u.large() {
-				return q.target.info.Place
+				return q.target.info.Zone
 			}
 		}
 	}
@@ -72,7 +72,7 @@
 		return ""
 	}
 	if e, _ := o.choose(j, now); e != nil {
-		return e.info.Place
+		return e.info.Zone
 	}
 	return ""
 }
--- a/internal/stagework/contact.go
+++ b/internal/stagework/contact.go
@@ -7,14 +7,14 @@
 	"lynxhill.example/lynxhill/internal/control/loop"
 )
 
-// Contact is whether an instance can reach the others or the store.
-type Contact int
+// Connectivity is whether an instance can reach the others or the store.
+type Connectivity int
 
 // Values of Contact.
 const (
-	ContactGood Contact = iota
-	ContactOpen         // the others do not respond, and the reply of the store is pending
-	ContactLost         // neither the others nor the store respond
+	ConnectivityOK      Connectivity = iota
+	ConnectivityUnknown              // the others do not respond, and the reply of the store is pending
+	ConnectivityLost                 // neither the others nor the store respond
 )
 
 // isolatedRetryAfter is the retry delay given to callers that an isolated
@@ -29,15 +29,15 @@
 // schedules by itself. As long as it is unknown whether this instance is cut
 // off, the job waits.
 func (f *Finder) refuseIfIsolated(ctx context.Context, job *Job) (*Refusal, error) {
-	if f.o.Contact == nil || !job.hasPieces() {
+	if f.o.Connectivity == nil || !job.hasPieces() {
 		return nil, nil
 	}
 	for {
-		switch f.o.Contact() {
-		case ContactGood:
+		switch f.o.Connectivity() {
+		case ConnectivityOK:
 			return nil, nil
-		case ContactLost:
-			return &Refusal{Reason: ReasonAlone, RetryAfter: isolatedRetryAfter}, nil
+		case ConnectivityLost:
+			return &Refusal{Reason: ReasonIsolated, RetryAfter: isolatedRetryAfter}, nil
 		}
 		if !loop.Sleep(ctx, f.o.Clock, contactPollInterval) {
 			return nil, ctx.Err()
--- a/internal/stagework/decisions_test.go
+++ b/internal/stagework/decisions_test.go
@@ -70,7 +70,7 @@
 		Reason               string
 		RetryAfter, Forecast time.Duration
 		Elsewhere            string
-	}{r.Reason, r.RetryAfter, r.Forecast, r.Elsewhere}
+	}{r.Reason, r.RetryAfter, r.Forecast, r.FirstRanked}
 }
 
 func (d *randomRun) oneIn(in int) bool { return d.r.IntN(in) == 0 }
@@ -87,7 +87,7 @@
 			d.write(q.unit.job.ID, q.unit.stage, q.number)
 			results[i].Handle = fmt.Sprint(q.unit.job.ID, "/", q.unit.stage, "/", q.number, "/", q.attempts)
 			if d.oneIn(60) {
-				results[i] = relay.PieceResult{Fault: relay.PieceFault(1 + d.r.IntN(4))}
+				results[i] = relay.PieceResult{Status: relay.PieceStatus(1 + d.r.IntN(4))}
 			}
 		}
 		took := time.Duration(float64(c.nominal) * (0.8 + d.r.Float64()/2))
@@ -121,7 +121,7 @@
 	d.write(in.ID, refusalFields(refusal))
 	d.refused = refusal != nil
 	if j != nil {
-		j.onReturn = func(made []Made) { d.write(in.ID, " back ", made) }
+		j.onReturn = func(made []ResultRef) { d.write(in.ID, " back ", made) }
 		if d.oneIn(10) {
 			d.inIfDue(time.Duration(d.r.IntN(900))*ms, func(now time.Time) { d.cancel(j, now) })
 		}
@@ -229,7 +229,7 @@
 		d.table.Services[name] = &route.Service{Name: name, Pieces: &g.limits}
 		for n := range g.targets {
 			id := fmt.Sprint(name, n)
-			d.targets = append(d.targets, fleet.Target{ID: id, Service: name, Address: "at " + id, Place: fmt.Sprint("p", n%2)})
+			d.targets = append(d.targets, fleet.Target{ID: id, Service: name, Address: "at " + id, Zone: fmt.Sprint("p", n%2)})
 		}
 	}
 	all, made := 0, 0
--- a/internal/stagework/dispatcher.go
+++ b/internal/stagework/dispatcher.go
@@ -35,8 +35,8 @@
 	Logger *event.Logger
 	// Reuse is the time after its use within which processing a prompt part
 	// again counts as redundant. 0 = a default.
-	Reuse  time.Duration
-	Bounds Bounds
+	Reuse      time.Duration
+	RateLimits RateLimits
 	// First returns the instance that should schedule for the cell, and whether
 	// that instance is known to be reachable. nil = this instance should.
 	First func(Cell) (instance string, sure bool)
@@ -84,7 +84,7 @@
 	}
 	var p *Planner
 	p = NewPlanner(func(address string, handles []string) { d.release(releaseDest{p, address}, handles) })
-	p.cell, p.bounds = cell, d.o.Bounds
+	p.cell, p.bounds = cell, d.o.RateLimits
 	if d.o.Reuse > 0 {
 		p.reuseWindow = d.o.Reuse
 	}
@@ -157,31 +157,31 @@
 	t := &LocalAssignment{d: d, decisions: make(chan Decision, decisionBuffer)}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	t.p = d.planner(Cell{Places: in.Cell})
+	t.p = d.planner(Cell{Zones: in.Cell})
 	j, refusal := t.p.submit(in, t.decide, d.o.Clock.Now())
 	if refusal != nil {
 		d.logRefusal(t.p, in, refusal)
 		return nil, refusal
 	}
 	t.j = j
-	j.onReturn = func(results []Made) {
+	j.onReturn = func(results []ResultRef) {
 		t.returned = results
 		next, _ := d.first(t.p)
-		t.send(Decision{Next: next})
+		t.send(Decision{NextDispatcher: next})
 	}
 	if remote {
-		j.onResults = func(made []Made) { t.send(Decision{Made: made}) }
+		j.onResults = func(made []ResultRef) { t.send(Decision{Results: made}) }
 	}
 	d.runPlan(t.p)
 	return t, nil
 }
 
-// HandBack returns the jobs that have no engine yet to their owners with their
+// ReturnJobs returns the jobs that have no engine yet to their owners with their
 // results, each once none of its pieces is running. The owners submit them to
 // the next dispatcher. It is called when the instance is stopping: otherwise
 // two dispatchers would schedule for the same targets, without knowing of each
 // other, until the stop is complete.
-func (d *Dispatcher) HandBack() {
+func (d *Dispatcher) ReturnJobs() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, p := range d.planners {
@@ -248,7 +248,7 @@
 	list := make([]relay.Piece, 0, len(c.pieces))
 	for _, q := range c.pieces {
 		j := q.unit.job
-		e := relay.Piece{ID: j.ID, Stage: q.unit.stage, Number: q.number, Left: max(j.Deadline.Sub(now), time.Millisecond)}
+		e := relay.Piece{ID: j.ID, Stage: q.unit.stage, Number: q.number, Remaining: max(j.Deadline.Sub(now), time.Millisecond)}
 		for _, a := range q.unit.inputs {
 			for _, in := range a.pieces {
 				e.Inputs = append(e.Inputs, in.handle)
@@ -275,7 +275,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if timedOut {
-		p.counts.Hung++
+		p.counts.TimedOut++
 	}
 	now := d.o.Clock.Now()
 	d.logCall(c, results, noSlot, err, now)
@@ -287,7 +287,7 @@
 func (d *Dispatcher) release(at releaseDest, handles []string) {
 	batch, after := &d.releases, releaseDelay
 	if id, listed := d.targetAtAddress(at.address); listed {
-		if _, named := d.o.Bounds.limit(id); named {
+		if _, named := d.o.RateLimits.limit(id); named {
 			batch, after = &d.limitedReleases, limitedReleaseDelay
 		}
 	}
--- a/internal/stagework/engine.go
+++ b/internal/stagework/engine.go
@@ -47,7 +47,7 @@
 	tokens int
 }
 
-func newEngine(t fleet.Target, b Bounds) *engine {
+func newEngine(t fleet.Target, b RateLimits) *engine {
 	return &engine{info: t, latencyRatio: 1, limitWindow: b.window(), sentWindow: allowance.NewWindow(allowance.ColdSpan), cachedParts: make(map[string]*list.Element), lru: list.New()}
 }
 
@@ -182,7 +182,7 @@
 	// coldRate is the number of requests per second that a cold engine can
 	// handle; 0 = unlimited.
 	coldRate float64
-	bounds   Bounds
+	bounds   RateLimits
 }
 
 // eligibility is how well an engine qualifies for a job, best first.
@@ -200,7 +200,7 @@
 	switch {
 	case e.removed || e.info.Draining || p.rateLimited(e, j, now):
 		return ineligible
-	case slices.Contains(j.Avoid, e.info.ID):
+	case slices.Contains(j.ExcludedEngines, e.info.ID):
 		return eligibleExcluded
 	case now.Before(e.pausedUntil):
 		return eligibleInBackoff
--- a/internal/stagework/engine_choice.go
+++ b/internal/stagework/engine_choice.go
@@ -74,15 +74,15 @@
 	}
 	first := p.predictFirstEvent(e, all)
 	cost := firstEventWeight * first
-	if late := first - float64(j.Aim.Sub(now).Milliseconds()); late > 0 && now.Before(j.Aim) {
+	if late := first - float64(j.OnTimeUntil.Sub(now).Milliseconds()); late > 0 && now.Before(j.OnTimeUntil) {
 		cost += lateWeight * late
 	}
 	cost += prefillWeight * float64(redundant) / 1000
 	if e != home {
 		cost += homeWeight
 	}
-	cost += p.policy.crossZoneWeight() * float64(j.bytesInOtherZones(e.info.Place)) / 1e6
-	if e.info.Place != j.Place {
+	cost += p.policy.crossZoneWeight() * float64(j.bytesInOtherZones(e.info.Zone)) / 1e6
+	if e.info.Zone != j.Zone {
 		cost += zoneWeight
 	}
 	if p.limits.Slots > 0 {
@@ -102,7 +102,7 @@
 	var bytes int64
 	for _, u := range j.finalUnits {
 		for _, q := range u.pieces {
-			if q.state == pieceDone && q.target.info.Place != zone {
+			if q.state == pieceDone && q.target.info.Zone != zone {
 				bytes += u.resultBytes
 			}
 		}
--- a/internal/stagework/engine_test.go
+++ b/internal/stagework/engine_test.go
@@ -32,7 +32,7 @@
 	c := &engineChooser{NewPlanner(func(string, []string) {}), t, time.Unix(1e9, 0)}
 	table, targets := engines(n)
 	for i := range targets {
-		targets[i].Place = "p0"
+		targets[i].Zone = "p0"
 	}
 	c.SetTargets(table, fleet.NewView(1, slices.Concat(targets[shift:], targets[:shift])))
 	return c
@@ -46,8 +46,8 @@
 		parts = append(parts, relay.PromptPart{ID: fmt.Sprint(session, "/", i), Tokens: 100})
 	}
 	in := Job{
-		ID: fmt.Sprint(session, turn), Aim: c.now.Add(time.Second), Deadline: c.now.Add(time.Minute), Service: "lm", Place: "p0",
-		Prompt: &relay.Prompt{TokensIn: 200 + tokens + 100*turn, TokensOut: 100, Parts: parts}, Avoid: avoid,
+		ID: fmt.Sprint(session, turn), OnTimeUntil: c.now.Add(time.Second), Deadline: c.now.Add(time.Minute), Service: "lm", Zone: "p0",
+		Prompt: &relay.Prompt{TokensIn: 200 + tokens + 100*turn, TokensOut: 100, Parts: parts}, ExcludedEngines: avoid,
 	}
 	j, refusal := c.submit(in, func(p Placement, _ *Refusal) { id = p.Target }, c.now)
 	if refusal != nil {
@@ -168,7 +168,7 @@
 	asked     map[string]int
 }
 
-func (r *fakeRemote) Work(_ context.Context, instance string, j Job) (Assignment, *Refusal, error) {
+func (r *fakeRemote) Submit(_ context.Context, instance string, j Job) (Assignment, *Refusal, error) {
 	r.asked[instance]++
 	if r.starting {
 		return nil, nil, fmt.Errorf("dial: %w", syscall.ECONNREFUSED)
@@ -179,8 +179,8 @@
 	if slices.Contains(r.noTargets, instance) {
 		return nil, &Refusal{Reason: ReasonNoTarget}, nil
 	}
-	if first, ok := r.redirects[instance]; ok && j.Insist != InsistTried {
-		return nil, &Refusal{Reason: ReasonNotFirst, Elsewhere: first}, nil
+	if first, ok := r.redirects[instance]; ok && j.RankOverride != OverrideUnreachable {
+		return nil, &Refusal{Reason: ReasonNotFirst, FirstRanked: first}, nil
 	}
 	return nil, &Refusal{Reason: instance}, nil // identifies the instance that responded
 }
--- a/internal/stagework/fake_targets_test.go
+++ b/internal/stagework/fake_targets_test.go
@@ -119,10 +119,10 @@
 		stage := j.Stages[p.Stage]
 		switch {
 		case !f.inputsPresent(j, stage.After, p.Inputs):
-			results = append(results, relay.PieceResult{Fault: relay.PieceGone})
+			results = append(results, relay.PieceResult{Status: relay.PieceInputMissing})
 		case f.usedLocked(id)+stage.ResultBytes > s.memory:
 			s.outOfMemory++
-			results = append(results, relay.PieceResult{Fault: relay.PieceRoom})
+			results = append(results, relay.PieceResult{Status: relay.PieceNoMemory})
 		default:
 			handle := fmt.Sprintf("%s#%d", id, len(f.results))
 			f.crossZoneReads += f.inOtherZone(id, p.Inputs)
@@ -203,11 +203,11 @@
 	if s.limits.Batch == 0 {
 		return relay.StageReport{}, errors.New("no such target")
 	}
-	return relay.StageReport{Busy: s.running > 0, FreeRoom: s.memory - used}, nil
+	return relay.StageReport{Busy: s.running > 0, FreeBytes: s.memory - used}, nil
 }
 
-// Kept implements relay.StageClient.
-func (f *fakeTargets) Kept(_ context.Context, t fleet.Target) ([]relay.PromptPart, error) {
+// CachedParts implements relay.StageClient.
+func (f *fakeTargets) CachedParts(_ context.Context, t fleet.Target) ([]relay.PromptPart, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.cachedParts[t.ID], nil
@@ -264,7 +264,7 @@
 
 // limits returns the parameters of a typical stage service.
 func limits(batch int, call, item time.Duration, room int64) route.Pieces {
-	return route.Pieces{Slots: 1, Batch: batch, CallTime: call, ItemTime: item, ResultRoom: room, ResultLifetime: 30 * time.Second}
+	return route.Pieces{Slots: 1, Batch: batch, CallTime: call, ItemTime: item, ResultMemory: room, ResultLifetime: 30 * time.Second}
 }
 
 // serviceSpec declares a service with its targets, whose IDs are the service's
@@ -296,8 +296,8 @@
 			w.table.Services[name] = &route.Service{Name: name, Pieces: &g.limits}
 			for n := range g.targets {
 				id := fmt.Sprint(name, n)
-				w.targets = append(w.targets, fleet.Target{ID: id, Service: name, Address: "at " + id, Place: fmt.Sprint("p", n%2)})
-				f.targets[id] = &fakeTarget{limits: g.limits, slowdown: 1, memory: g.limits.ResultRoom, removed: make(chan struct{})}
+				w.targets = append(w.targets, fleet.Target{ID: id, Service: name, Address: "at " + id, Zone: fmt.Sprint("p", n%2)})
+				f.targets[id] = &fakeTarget{limits: g.limits, slowdown: 1, memory: g.limits.ResultMemory, removed: make(chan struct{})}
 			}
 		}
 		w.publish()
@@ -313,7 +313,7 @@
 func engines(n int) (*route.Table, []fleet.Target) {
 	var targets []fleet.Target
 	for i := range n {
-		targets = append(targets, fleet.Target{ID: fmt.Sprint("lm", i), Service: "lm", Address: fmt.Sprint("at lm", i), Place: fmt.Sprint("p", i%2)})
+		targets = append(targets, fleet.Target{ID: fmt.Sprint("lm", i), Service: "lm", Address: fmt.Sprint("at lm", i), Zone: fmt.Sprint("p", i%2)})
 	}
 	return &route.Table{Services: map[string]*route.Service{"lm": {Name: "lm", Engine: &route.Engine{Slots: 64, MemoryTokens: 1e6}}}}, targets
 }
@@ -356,8 +356,8 @@
 // deadline.
 func newJob(id any, aim, deadline time.Duration, stages []route.Stage, pieces ...int) Job {
 	return Job{
-		ID: fmt.Sprint("job ", id), Aim: time.Now().Add(aim), Deadline: time.Now().Add(deadline),
-		Stages: stages, Pieces: pieces, Service: "lm", Place: "p0",
+		ID: fmt.Sprint("job ", id), OnTimeUntil: time.Now().Add(aim), Deadline: time.Now().Add(deadline),
+		Stages: stages, Pieces: pieces, Service: "lm", Zone: "p0",
 	}
 }
 
@@ -402,7 +402,7 @@
 			continue
 		}
 		time.Sleep(firstEvent)
-		assignment.Begun()
+		assignment.AnswerStarted()
 		e.engine, e.at = d.Target, time.Now()
 		time.Sleep(4 * firstEvent)
 		return e
--- a/internal/stagework/faults_test.go
+++ b/internal/stagework/faults_test.go
@@ -40,7 +40,7 @@
 	withEnv(t, cuts(3), func(w *testEnv) {
 		w.fake.targets["cut0"].hangs = true
 		requirePlaced(t, w.serveAll(40, 40*ms, func(i int) Job { return newJob(i, time.Second, 1500*ms, cutOnly(1024), 2) })...)
-		if calls, hung := len(w.fake.target("cut0").started), w.d.Counts().Hung; calls == 0 || hung != calls {
+		if calls, hung := len(w.fake.target("cut0").started), w.d.Counts().TimedOut; calls == 0 || hung != calls {
 			t.Errorf("%d calls of the hanging target, %d counted", calls, hung)
 		}
 	})
@@ -134,7 +134,7 @@
 		if first.Refusal != nil || second.Refusal != nil || !w.engineInputsPresent(j, second.Inputs) {
 			t.Errorf("placed %+v, then %+v", first, second)
 		}
-		assignment.Begun()
+		assignment.AnswerStarted()
 		assignment.End()
 	})
 }
--- a/internal/stagework/finder.go
+++ b/internal/stagework/finder.go
@@ -20,7 +20,7 @@
 // that dispatcher has accepted the job, or with a refusal, or soon with an
 // error if it cannot be reached.
 type Remote interface {
-	Work(ctx context.Context, instance string, job Job) (Assignment, *Refusal, error)
+	Submit(ctx context.Context, instance string, job Job) (Assignment, *Refusal, error)
 }
 
 // FinderOptions configure a Finder.
@@ -33,12 +33,12 @@
 	// Capacity returns an instance's CPU capacity in cores; 0 if unknown. nil =
 	// all instances have the same.
 	Capacity func(instance string) float64
-	// Contact reports whether this instance can reach the other instances that
+	// Connectivity reports whether this instance can reach the other instances that
 	// it believes alive, or the store. nil = it always can.
-	Contact func() Contact
-	// Meeting reports whether this instance has started so recently that it
+	Connectivity func() Connectivity
+	// Joining reports whether this instance has started so recently that it
 	// does not know the other members yet. nil = it always knows them.
-	Meeting func() bool
+	Joining func() bool
 	// Cells returns the current cells. nil = there is one.
 	Cells  func() []Cell
 	Clock  clock.Clock
@@ -107,7 +107,7 @@
 // day's calls; with these retries and the members that the platform lists, two
 // in a hundred.
 func (f *Finder) submitTo(ctx context.Context, cell Cell, job Job) (Assignment, *Refusal, error) {
-	job.Cell = cell.Places
+	job.Cell = cell.Zones
 	if err := f.awaitMembers(ctx); err != nil {
 		return nil, nil, err
 	}
@@ -141,7 +141,7 @@
 	return nil
 }
 
-func (f *Finder) joining() bool { return f.o.Meeting != nil && f.o.Meeting() }
+func (f *Finder) joining() bool { return f.o.Joining != nil && f.o.Joining() }
 
 // errStarting reports that none of the candidates is running yet.
 var errStarting = errors.New("no dispatcher has started")
@@ -151,7 +151,7 @@
 func (f *Finder) tryCandidates(ctx context.Context, cell Cell, job Job) (Assignment, *Refusal, error) {
 	candidates, skipped := f.candidates(cell)
 	if skipped {
-		job.Insist = InsistRemembered
+		job.RankOverride = OverrideRecentlyUnreachable
 	}
 	starting := len(candidates) > 0
 	for _, instance := range candidates {
@@ -173,7 +173,7 @@
 			f.Exclude(instance, err)
 			starting = false
 		}
-		job.Insist = InsistRemembered
+		job.RankOverride = OverrideRecentlyUnreachable
 	}
 	if starting {
 		return nil, nil, errStarting
@@ -211,8 +211,8 @@
 	if err != nil || refusal == nil || refusal.Reason != ReasonNotFirst {
 		return a, refusal, err
 	}
-	job.Insist = InsistTried
-	if first := refusal.Elsewhere; first != f.o.Self {
+	job.RankOverride = OverrideUnreachable
+	if first := refusal.FirstRanked; first != f.o.Self {
 		a, refusal, err = f.callInstance(ctx, first, job)
 		if err == nil {
 			return a, refusal, nil
@@ -226,7 +226,7 @@
 // has just started and knows no targets yet is converted to an error, since
 // other instances may know them.
 func (f *Finder) callInstance(ctx context.Context, instance string, job Job) (Assignment, *Refusal, error) {
-	a, refusal, err := f.o.Remote.Work(ctx, instance, job)
+	a, refusal, err := f.o.Remote.Submit(ctx, instance, job)
 	if refusal != nil && refusal.Reason == ReasonNoTarget {
 		return nil, nil, errNoTargetsKnown
 	}
@@ -239,16 +239,16 @@
 	return a, refusal, err
 }
 
-// Take accepts a job of another instance. If this instance does not rank first,
+// Accept accepts a job of another instance. If this instance does not rank first,
 // it refuses the job and names the one that does, unless the job's owner
 // insists and has newer information.
-func (f *Finder) Take(job Job) (Assignment, *Refusal) {
-	first, reachable := f.First(Cell{Places: job.Cell})
+func (f *Finder) Accept(job Job) (Assignment, *Refusal) {
+	first, reachable := f.First(Cell{Zones: job.Cell})
 	if f.joining() {
 		first = f.o.Self // the job's owner has a more complete view of the members
 	}
-	if first != f.o.Self && (job.Insist == InsistNot || job.Insist == InsistRemembered && reachable) {
-		return nil, &Refusal{Reason: ReasonNotFirst, Elsewhere: first}
+	if first != f.o.Self && (job.RankOverride == NoRankOverride || job.RankOverride == OverrideRecentlyUnreachable && reachable) {
+		return nil, &Refusal{Reason: ReasonNotFirst, FirstRanked: first}
 	}
 	t, refusal := f.o.Local.SubmitRemote(job)
 	if refusal != nil {
@@ -309,11 +309,11 @@
 	return slices.DeleteFunc(members, func(m string) bool { return f.o.Capacity(m) < minCapacityShare*most })
 }
 
-// Lost reports that the dispatcher of an instance was lost while it had a job.
-func (f *Finder) Lost(instance string) { f.Exclude(instance, errDispatcherLost) }
+// MarkLost reports that the dispatcher of an instance was lost while it had a job.
+func (f *Finder) MarkLost(instance string) { f.Exclude(instance, errDispatcherLost) }
 
-// Reached ends the exclusion of an instance that can be reached again.
-func (f *Finder) Reached(instance string) { f.reach.readmit(instance) }
+// MarkReachable ends the exclusion of an instance that can be reached again.
+func (f *Finder) MarkReachable(instance string) { f.reach.readmit(instance) }
 
 // Exclude excludes an instance for a while.
 func (f *Finder) Exclude(instance string, err error) {
--- a/internal/stagework/finder_test.go
+++ b/internal/stagework/finder_test.go
@@ -45,19 +45,19 @@
 func TestWhoTakesAJobThatIsForAnother(t *testing.T) {
 	withFinder(t, func(f *Finder, r *fakeRemote, ranked []string) {
 		for _, c := range []struct {
-			insist  Insistence
+			insist  RankOverride
 			answers bool // the first instance has responded to this one
 			want    string
 		}{
-			{InsistNot, false, ReasonNotFirst}, {InsistRemembered, false, ReasonNoTarget}, {InsistTried, false, ReasonNoTarget},
-			{InsistNot, true, ReasonNotFirst}, {InsistRemembered, true, ReasonNotFirst}, {InsistTried, true, ReasonNoTarget},
+			{NoRankOverride, false, ReasonNotFirst}, {OverrideRecentlyUnreachable, false, ReasonNoTarget}, {OverrideUnreachable, false, ReasonNoTarget},
+			{NoRankOverride, true, ReasonNotFirst}, {OverrideRecentlyUnreachable, true, ReasonNotFirst}, {OverrideUnreachable, true, ReasonNoTarget},
 		} {
 			time.Sleep(reachableFor)
 			if c.answers {
 				answeredBy(t, f)
 			}
-			_, refusal := f.Take(Job{Insist: c.insist})
-			if refusal == nil || refusal.Reason != c.want || c.want == ReasonNotFirst && refusal.Elsewhere != ranked[0] {
+			_, refusal := f.Accept(Job{RankOverride: c.insist})
+			if refusal == nil || refusal.Reason != c.want || c.want == ReasonNotFirst && refusal.FirstRanked != ranked[0] {
 				t.Errorf("%+v: %+v", c, refusal) // one that it takes finds no target
 			}
 		}
@@ -71,13 +71,15 @@
 	withFinder(t, func(f *Finder, r *fakeRemote, ranked []string) {
 		r.silent = ranked[:2]
 		alone := true
-		f.o.Contact = func() Contact { return map[bool]Contact{false: ContactGood, true: ContactLost}[alone] }
+		f.o.Connectivity = func() Connectivity {
+			return map[bool]Connectivity{false: ConnectivityOK, true: ConnectivityLost}[alone]
+		}
 		staged := Job{
 			Service: "lm", Stages: []route.Stage{{Service: "cut"}}, Pieces: []int{1}, Prompt: &relay.Prompt{},
-			Aim: time.Now().Add(time.Second), Deadline: time.Now().Add(time.Second),
+			OnTimeUntil: time.Now().Add(time.Second), Deadline: time.Now().Add(time.Second),
 		}
 		_, refusal, err := f.Submit(t.Context(), staged)
-		if err != nil || refusal == nil || refusal.Reason != ReasonAlone || refusal.RetryAfter > 100*ms || len(r.asked) > 0 {
+		if err != nil || refusal == nil || refusal.Reason != ReasonIsolated || refusal.RetryAfter > 100*ms || len(r.asked) > 0 {
 			t.Errorf("refusal %+v, error %v, calls %v", refusal, err, r.asked)
 		}
 		if got := answeredBy(t, f); got != "self" {
@@ -142,13 +144,13 @@
 func TestJobsWaitUntilTheMembersAreKnown(t *testing.T) {
 	withFinder(t, func(f *Finder, r *fakeRemote, ranked []string) {
 		meeting := true
-		f.o.Meeting = func() bool { return meeting }
+		f.o.Joining = func() bool { return meeting }
 		f.o.Members = func() []string { return []string{f.o.Self} }
 		time.AfterFunc(150*ms, func() {
 			meeting = false
 			f.o.Members = func() []string { return ranked }
 		})
-		if _, refusal := f.Take(Job{}); refusal == nil || refusal.Reason != ReasonNoTarget {
+		if _, refusal := f.Accept(Job{}); refusal == nil || refusal.Reason != ReasonNoTarget {
 			t.Errorf("a job whose owner knows the members: %+v, want it accepted (and no target found)", refusal)
 		}
 		began := time.Now()
@@ -166,14 +168,14 @@
 func TestAJobWaitsWhileItIsOpenWhoIsCutOff(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		then Contact
+		then Connectivity
 		want string
-	}{{"the store responds", ContactGood, ""}, {"the store does not respond", ContactLost, ReasonAlone}} {
+	}{{"the store responds", ConnectivityOK, ""}, {"the store does not respond", ConnectivityLost, ReasonIsolated}} {
 		withFinder(t, func(f *Finder, r *fakeRemote, ranked []string) {
 			began := time.Now()
-			f.o.Contact = func() Contact {
+			f.o.Connectivity = func() Connectivity {
 				if time.Since(began) < 100*ms {
-					return ContactOpen
+					return ConnectivityUnknown
 				}
 				return c.then
 			}
--- a/internal/stagework/forecast.go
+++ b/internal/stagework/forecast.go
@@ -84,10 +84,10 @@
 func (v *service) pieceTime(bytes int64) time.Duration {
 	call := v.expectedCallTime(v.batch())
 	piece := call / time.Duration(v.batch())
-	if v.limits.ResultRoom <= 0 {
+	if v.limits.ResultMemory <= 0 {
 		return piece
 	}
-	memoryTime := float64(bytes) / float64(v.limits.ResultRoom) * float64(call+v.retention)
+	memoryTime := float64(bytes) / float64(v.limits.ResultMemory) * float64(call+v.retention)
 	return max(piece, time.Duration(memoryTime))
 }
 
@@ -111,7 +111,7 @@
 		waits := max(end-j.minTime, 0)
 		needed += time.Duration(bottleneck.fairness.waitPenalty(j.Route, f.now) * float64(waits))
 	}
-	return needed <= j.Aim.Sub(f.now)
+	return needed <= j.OnTimeUntil.Sub(f.now)
 }
 
 // engineTime is the time from the last result to the engine's first event.
@@ -199,7 +199,7 @@
 	if a.Priority != b.Priority {
 		return a.Priority - b.Priority
 	}
-	if c := a.Aim.Add(-a.minTime).Compare(b.Aim.Add(-b.minTime)); c != 0 {
+	if c := a.OnTimeUntil.Add(-a.minTime).Compare(b.OnTimeUntil.Add(-b.minTime)); c != 0 {
 		return c
 	}
 	return compare(a.ID, b.ID)
--- a/internal/stagework/forecast_test.go
+++ b/internal/stagework/forecast_test.go
@@ -23,7 +23,7 @@
 		needs := p.newForecast(now).end(j)
 		p.cancel(j, now)
 		in := stagedJob("r", 3, now)
-		in.Aim = now.Add(time.Duration(c.share * float64(needs)))
+		in.OnTimeUntil = now.Add(time.Duration(c.share * float64(needs)))
 		if j, refusal = p.submit(in, nil, now); refusal != nil || j.late != c.late {
 			t.Errorf("with %v of the forecast time: refusal %v, late %v", c.share, refusal, j.late)
 		}
--- a/internal/stagework/handback_test.go
+++ b/internal/stagework/handback_test.go
@@ -23,7 +23,9 @@
 
 func (busyTargets) Free(context.Context, string, []string) error { return nil }
 
-func (busyTargets) Kept(context.Context, fleet.Target) ([]relay.PromptPart, error) { return nil, nil }
+func (busyTargets) CachedParts(context.Context, fleet.Target) ([]relay.PromptPart, error) {
+	return nil, nil
+}
 
 func (busyTargets) Report(context.Context, fleet.Target) (relay.StageReport, error) {
 	return relay.StageReport{}, context.DeadlineExceeded
@@ -39,13 +41,13 @@
 	d := New(Options{Self: "a", Client: busyTargets{}, Clock: c, First: func(Cell) (string, bool) { return "b", true }})
 	defer d.Close()
 	table := (&route.Table{Services: map[string]*route.Service{
-		"cut": {Name: "cut", Pieces: &route.Pieces{Slots: 1, Batch: 1, CallTime: 100 * time.Millisecond, ResultRoom: 1 << 20, ResultLifetime: time.Minute}},
+		"cut": {Name: "cut", Pieces: &route.Pieces{Slots: 1, Batch: 1, CallTime: 100 * time.Millisecond, ResultMemory: 1 << 20, ResultLifetime: time.Minute}},
 		"lm":  {Name: "lm", Engine: &route.Engine{Slots: 8}},
 	}}).Build()
 	d.SetTargets(table, fleet.NewView(1, []fleet.Target{{ID: "s", Service: "cut", Address: "at s"}, {ID: "e", Service: "lm", Address: "at e"}}))
 	submit := func(id string) *LocalAssignment {
 		assignment, refusal := d.Submit(Job{
-			ID: id, Key: "k", Service: "lm", Aim: c.Now().Add(time.Minute), Deadline: c.Now().Add(time.Minute),
+			ID: id, Key: "k", Service: "lm", OnTimeUntil: c.Now().Add(time.Minute), Deadline: c.Now().Add(time.Minute),
 			Stages: []route.Stage{{Service: "cut", ResultBytes: 1}}, Pieces: []int{1}, Prompt: &relay.Prompt{TokensIn: 1},
 		})
 		if refusal != nil {
@@ -55,13 +57,13 @@
 	}
 	// The first job's piece is running; the second job waits for the target.
 	d.mu.Lock()
-	d.planner(Cell{}).services["cut"].limits.ResultRoom = 2 // memory for one result, since a part is not used
+	d.planner(Cell{}).services["cut"].limits.ResultMemory = 2 // memory for one result, since a part is not used
 	d.mu.Unlock()
 	running, waiting := submit("1"), submit("2")
-	d.HandBack()
+	d.ReturnJobs()
 	select {
 	case got := <-waiting.Decisions():
-		if got.Next != "b" {
+		if got.NextDispatcher != "b" {
 			t.Errorf("the waiting job got %+v", got)
 		}
 	default:
@@ -69,7 +71,7 @@
 	}
 	select {
 	case got := <-running.Decisions():
-		if got.Next != "" {
+		if got.NextDispatcher != "" {
 			t.Error("the job whose piece is running was returned")
 		}
 	default:
--- a/internal/stagework/job.go
+++ b/internal/stagework/job.go
@@ -10,23 +10,23 @@
 // Job is the work of a request before its final (engine) call, as its owner
 // submits it to a dispatcher.
 type Job struct {
-	ID           string // ID of the caller's attempt
-	Key          string // identifies the inputs of the first stages
-	Organisation string
-	Route        string    // route of the request; scarce capacity is shared fairly among routes
-	Owner        string    // instance that handles the request and sends it to the engine
-	Priority     int       // 0 is the most urgent
-	Aim          time.Time // latest time for the first event to be on time
-	Deadline     time.Time // time at which the caller gives up
-	Stages       []route.Stage
-	Pieces       []int  // number of pieces of each stage; missing entries are 0
-	Service      string // engine service
-	Prompt       *relay.Prompt
-	Place        string   // availability zone of the owner
-	Cell         []string // zones whose targets may do the work; nil = all
-	Avoid        []string // engines that have failed this request
-	Made         []Made   // results produced under the previous dispatcher
-	Insist       Insistence
+	ID              string // ID of the caller's attempt
+	Key             string // identifies the inputs of the first stages
+	Organisation    string
+	Route           string    // route of the request; scarce capacity is shared fairly among routes
+	Owner           string    // instance that handles the request and sends it to the engine
+	Priority        int       // 0 is the most urgent
+	OnTimeUntil     time.Time // latest time for the first event to be on time
+	Deadline        time.Time // time at which the caller gives up
+	Stages          []route.Stage
+	Pieces          []int  // number of pieces of each stage; missing entries are 0
+	Service         string // engine service
+	Prompt          *relay.Prompt
+	Zone            string      // availability zone of the owner
+	Cell            []string    // zones whose targets may do the work; nil = all
+	ExcludedEngines []string    // engines that have failed this request
+	Results         []ResultRef // results produced under the previous dispatcher
+	RankOverride    RankOverride
 }
 
 func (j *Job) pieces(stage int) int {
@@ -36,28 +36,28 @@
 	return j.Pieces[stage]
 }
 
-// Insistence says why an owner sends a job to an instance that may not rank
+// RankOverride says why an owner sends a job to an instance that may not rank
 // first.
-type Insistence int
+type RankOverride int
 
 // Values of Insistence.
 const (
 	// InsistNot: the owner believes that the instance ranks first.
-	InsistNot Insistence = iota
+	NoRankOverride RankOverride = iota
 	// InsistRemembered: the owner recently failed to reach a higher-ranked
 	// instance.
-	InsistRemembered
+	OverrideRecentlyUnreachable
 	// InsistTried: the owner tried the instance named in a refusal and failed
 	// to reach it.
-	InsistTried
+	OverrideUnreachable
 )
 
-// Made is a reference to the result of a piece. The owner of a job keeps these
+// ResultRef is a reference to the result of a piece. The owner of a job keeps these
 // references, so that the next dispatcher can reuse the results if the current
 // one is lost. Otherwise the results of a crashed dispatcher take up memory on
 // their targets until they expire, while the next dispatcher has the same
 // pieces executed again.
-type Made struct {
+type ResultRef struct {
 	Stage, Number int
 	Target        string // ID of the target that holds the result
 	Handle        string
@@ -98,9 +98,9 @@
 	// Forecast is the predicted time to the first event, if that is why the job
 	// was refused.
 	Forecast time.Duration
-	// Elsewhere is the instance that ranks first, if that is why the job was
+	// FirstRanked is the instance that ranks first, if that is why the job was
 	// refused.
-	Elsewhere string
+	FirstRanked string
 	// Dispatcher is the instance that refused the job.
 	Dispatcher string
 }
@@ -110,7 +110,7 @@
 	ReasonLate     = "cannot be done in time"
 	ReasonNoTarget = "no target takes work"
 	ReasonFailed   = "pieces failed too often"
-	ReasonAlone    = "the other instances are not reached"
+	ReasonIsolated = "the other instances are not reached"
 	ReasonNotFirst = "another instance ranks first"
 )
 
@@ -201,9 +201,9 @@
 	placedAt       time.Time
 	uncachedTokens int // prompt tokens that the engine has to process, since they are not in its cache
 	notify         func(Placement, *Refusal)
-	onResults      func([]Made) // reports results to the owner; nil = they are not reported
-	onReturn       func([]Made) // returns the job with its results to the owner
-	returning      bool         // to be returned to the owner once none of its pieces is running
+	onResults      func([]ResultRef) // reports results to the owner; nil = they are not reported
+	onReturn       func([]ResultRef) // returns the job with its results to the owner
+	returning      bool              // to be returned to the owner once none of its pieces is running
 }
 
 // resultsReady reports whether all results that the engine reads are available.
--- a/internal/stagework/load_test.go
+++ b/internal/stagework/load_test.go
@@ -140,7 +140,7 @@
 	switch {
 	case e.engine == "":
 		return tally{asked: 1, refused: 1}
-	case e.at.After(j.Aim):
+	case e.at.After(j.OnTimeUntil):
 		return tally{asked: 1, late: 1}
 	}
 	return tally{asked: 1, onTime: 1}
--- a/internal/stagework/local_assignment.go
+++ b/internal/stagework/local_assignment.go
@@ -7,15 +7,15 @@
 type Decision struct {
 	Placement
 	Refusal *Refusal
-	// Lost is the instance whose dispatcher can no longer be reached; the job
+	// LostDispatcher is the instance whose dispatcher can no longer be reached; the job
 	// may be submitted to another one. "" = it is reachable.
-	Lost string
-	// Next is the instance that ranks first, if the dispatcher returns the job;
+	LostDispatcher string
+	// NextDispatcher is the instance that ranks first, if the dispatcher returns the job;
 	// the owner should resubmit the job to it. "" = the job is not returned.
-	Next string
-	// Made lists the results produced since the last decision, in a decision
+	NextDispatcher string
+	// Results lists the results produced since the last decision, in a decision
 	// that is nothing else.
-	Made []Made
+	Results []ResultRef
 }
 
 // Assignment is a job at a dispatcher, of this or another instance.
@@ -23,23 +23,23 @@
 	// Decisions returns the channel of the job's placements; each rejected one
 	// is followed by another. It is never closed.
 	Decisions() <-chan Decision
-	// Begun reports that the engine's answer has started.
-	Begun()
+	// AnswerStarted reports that the engine's answer has started.
+	AnswerStarted()
 	// Rejected reports that the engine did not run the request, so that another
 	// engine is needed. inputsLost reports that inputs were lost, failed that
 	// the engine did not respond correctly.
 	Rejected(inputsLost, failed bool)
-	// Broke reports that the engine failed the request after its answer had
+	// EngineFailed reports that the engine failed the request after its answer had
 	// started.
-	Broke()
+	EngineFailed()
 	// End ends the job, whatever its state.
 	End()
-	// Moved reports that the job continues at another dispatcher, which adopts
+	// Transferred reports that the job continues at another dispatcher, which adopts
 	// the results that Made returns.
-	Moved()
-	// Made returns the job's known results once its dispatcher is lost or has
+	Transferred()
+	// Results returns the job's known results once its dispatcher is lost or has
 	// returned the job.
-	Made() []Made
+	Results() []ResultRef
 	// Dispatcher is the instance whose dispatcher has the job.
 	Dispatcher() string
 }
@@ -51,7 +51,7 @@
 	p         *Planner
 	j         *job
 	decisions chan Decision
-	returned  []Made // results of a job that was returned to its owner
+	returned  []ResultRef // results of a job that was returned to its owner
 }
 
 // decisionBuffer is more than the number of decisions of a job: one for each
@@ -75,8 +75,8 @@
 // Decisions implements Assignment.
 func (t *LocalAssignment) Decisions() <-chan Decision { return t.decisions }
 
-// Begun implements Assignment.
-func (t *LocalAssignment) Begun() {
+// AnswerStarted implements Assignment.
+func (t *LocalAssignment) AnswerStarted() {
 	t.update(func(p *Planner, now time.Time) { p.answerStarted(t.j, now) })
 }
 
@@ -85,8 +85,8 @@
 	t.update(func(p *Planner, now time.Time) { p.engineRejected(t.j, inputsLost, failed, now) })
 }
 
-// Broke implements Assignment.
-func (t *LocalAssignment) Broke() {
+// EngineFailed implements Assignment.
+func (t *LocalAssignment) EngineFailed() {
 	t.update(func(p *Planner, now time.Time) { p.engineFailed(t.j, now) })
 }
 
@@ -98,11 +98,13 @@
 	t.d.runPlanIfDue(t.p)
 }
 
-// Moved implements Assignment.
-func (t *LocalAssignment) Moved() { t.update(func(p *Planner, now time.Time) { p.transfer(t.j, now) }) }
+// Transferred implements Assignment.
+func (t *LocalAssignment) Transferred() {
+	t.update(func(p *Planner, now time.Time) { p.transfer(t.j, now) })
+}
 
-// Made implements Assignment.
-func (t *LocalAssignment) Made() []Made {
+// Results implements Assignment.
+func (t *LocalAssignment) Results() []ResultRef {
 	t.d.mu.Lock()
 	defer t.d.mu.Unlock()
 	return t.returned
--- a/internal/stagework/log.go
+++ b/internal/stagework/log.go
@@ -16,7 +16,7 @@
 	}
 	faults := make(map[string]int)
 	for _, r := range results {
-		faults[r.Fault.String()]++
+		faults[r.Status.String()]++
 	}
 	d.o.Logger.Log(event.StageCallFailed, "target", c.target.info.ID, "pieces", len(c.pieces), "full", noSlot,
 		"took_ms", now.Sub(c.sent).Milliseconds(), "expected_ms", c.expected.Milliseconds(),
@@ -31,7 +31,7 @@
 func failedRequests(c *call, results []relay.PieceResult) string {
 	var ids []string
 	for i, q := range c.pieces {
-		made := i < len(results) && results[i].Fault == relay.PieceMade
+		made := i < len(results) && results[i].Status == relay.PieceDone
 		if id := q.unit.job.ID; !made && len(ids) < maxLoggedRequests && !slices.Contains(ids, id) {
 			ids = append(ids, id)
 		}
@@ -49,7 +49,7 @@
 	}
 	now := t.d.o.Clock.Now()
 	t.d.o.Logger.Log(event.StageJobGivenUp, "request", j.ID, "cell", t.p.cell.Name(), "reason", r.Reason,
-		"waited_ms", now.Sub(j.arrived).Milliseconds(), "aim_ms", j.Aim.Sub(now).Milliseconds(),
+		"waited_ms", now.Sub(j.arrived).Milliseconds(), "aim_ms", j.OnTimeUntil.Sub(now).Milliseconds(),
 		"deadline_ms", j.Deadline.Sub(now).Milliseconds(), "late", j.late, "made", made, "pieces", all, "jobs", len(t.p.jobs))
 }
 
@@ -57,13 +57,13 @@
 func (d *Dispatcher) logRefusal(p *Planner, in Job, r *Refusal) {
 	now := d.o.Clock.Now()
 	d.o.Logger.Log(event.StageJobRefused, "request", in.ID, "cell", p.cell.Name(), "reason", r.Reason,
-		"retry_after_ms", r.RetryAfter.Milliseconds(), "aim_ms", in.Aim.Sub(now).Milliseconds(),
+		"retry_after_ms", r.RetryAfter.Milliseconds(), "aim_ms", in.OnTimeUntil.Sub(now).Milliseconds(),
 		"deadline_ms", in.Deadline.Sub(now).Milliseconds(), "forecast_ms", r.Forecast.Milliseconds(), "jobs", len(p.jobs))
 }
 
 func allSucceeded(results []relay.PieceResult) bool {
 	for _, r := range results {
-		if r.Fault != relay.PieceMade {
+		if r.Status != relay.PieceDone {
 			return false
 		}
 	}
--- a/internal/stagework/log_test.go
+++ b/internal/stagework/log_test.go
@@ -25,7 +25,7 @@
 	time.Sleep(100 * ms)
 	results := make([]relay.PieceResult, len(pieces))
 	for i := range results {
-		results[i].Fault = relay.PieceError
+		results[i].Status = relay.PieceError
 	}
 	results[0] = relay.PieceResult{Handle: "h" + pieces[0].ID}
 	return results, false, nil
@@ -41,12 +41,12 @@
 		d := New(Options{Self: "a", Client: failingTargets{}, Clock: quartz.NewReal(), Logger: event.NewLogger(log.NewLogfmtLogger(&lines))})
 		defer d.Close()
 		table := (&route.Table{Services: map[string]*route.Service{
-			"cut": {Name: "cut", Pieces: &route.Pieces{Slots: 1, Batch: 8, CallTime: 100 * ms, ResultRoom: 1 << 20, ResultLifetime: time.Minute}},
+			"cut": {Name: "cut", Pieces: &route.Pieces{Slots: 1, Batch: 8, CallTime: 100 * ms, ResultMemory: 1 << 20, ResultLifetime: time.Minute}},
 			"lm":  {Name: "lm", Engine: &route.Engine{Slots: 8}},
 		}}).Build()
 		d.SetTargets(table, fleet.NewView(1, []fleet.Target{{ID: "s", Service: "cut"}, {ID: "e", Service: "lm"}}))
 		assignment, refusal := d.Submit(Job{
-			ID: "r1", Key: "k", Service: "lm", Aim: time.Now().Add(300 * ms), Deadline: time.Now().Add(500 * ms),
+			ID: "r1", Key: "k", Service: "lm", OnTimeUntil: time.Now().Add(300 * ms), Deadline: time.Now().Add(500 * ms),
 			Stages: []route.Stage{{Service: "cut", ResultBytes: 1}}, Pieces: []int{6}, Prompt: &relay.Prompt{TokensIn: 1},
 		})
 		if refusal != nil {
--- a/internal/stagework/lookahead.go
+++ b/internal/stagework/lookahead.go
@@ -58,7 +58,7 @@
 		if !a.done() {
 			c.readyIn = max(c.readyIn, a.latestEnd().Sub(now))
 		}
-		c.zone = a.pieces[0].target.info.Place
+		c.zone = a.pieces[0].target.info.Zone
 	}
 	return c, true
 }
@@ -99,7 +99,7 @@
 		if c.readyIn > slack {
 			break
 		}
-		if c.zone != s.info.Place || n+joined+c.waiting > r.v.batch() {
+		if c.zone != s.info.Zone || n+joined+c.waiting > r.v.batch() {
 			continue
 		}
 		w := c.jobWeight()
@@ -136,7 +136,7 @@
 func (r *round) nextFree(s *candidate, length time.Duration) time.Duration {
 	for i := range r.targets {
 		c := &r.targets[i]
-		if c.stageTarget == s.stageTarget || c.info.Place != s.info.Place {
+		if c.stageTarget == s.stageTarget || c.info.Zone != s.info.Zone {
 			continue
 		}
 		switch {
--- a/internal/stagework/partition.go
+++ b/internal/stagework/partition.go
@@ -41,7 +41,7 @@
 		return fresh
 	}
 	for i := range inUse {
-		inUse[i].Weight = capacityShare(counts, inUse[i].Places, services)
+		inUse[i].Weight = capacityShare(counts, inUse[i].Zones, services)
 	}
 	return inUse
 }
@@ -50,7 +50,7 @@
 // an evacuated zone, for example, has none.
 func (d *Partition) inUse(counts map[string]map[string]int, services []string) []Cell {
 	return slices.DeleteFunc(slices.Clone(d.current), func(c Cell) bool {
-		return !slices.ContainsFunc(services, func(s string) bool { return total(counts, c.Places, s) > 0 })
+		return !slices.ContainsFunc(services, func(s string) bool { return total(counts, c.Zones, s) > 0 })
 	})
 }
 
@@ -59,13 +59,13 @@
 func complete(counts map[string]map[string]int, cells []Cell, services []string) bool {
 	for _, c := range cells {
 		for _, s := range services {
-			if total(counts, c.Places, s) == 0 {
+			if total(counts, c.Zones, s) == 0 {
 				return false
 			}
 		}
 	}
 	for zone := range counts {
-		if !slices.ContainsFunc(cells, func(c Cell) bool { return slices.Contains(c.Places, zone) }) {
+		if !slices.ContainsFunc(cells, func(c Cell) bool { return slices.Contains(c.Zones, zone) }) {
 			return false
 		}
 	}
--- a/internal/stagework/partition_test.go
+++ b/internal/stagework/partition_test.go
@@ -27,7 +27,7 @@
 	for _, z := range zones {
 		for service, n := range map[string]int{"booking": z.booking, "billing": z.billing, "reporting": z.reporting, "lm": z.engines} {
 			for k := range n {
-				targets = append(targets, fleet.Target{ID: fmt.Sprint(service, z.name, k), Service: service, Place: z.name})
+				targets = append(targets, fleet.Target{ID: fmt.Sprint(service, z.name, k), Service: service, Zone: z.name})
 			}
 		}
 	}
--- a/internal/stagework/placement.go
+++ b/internal/stagework/placement.go
@@ -79,9 +79,9 @@
 		}
 	case failed:
 		e.recordFailure(now)
-		j.Avoid = append(j.Avoid, e.info.ID)
+		j.ExcludedEngines = append(j.ExcludedEngines, e.info.ID)
 	default:
-		j.Avoid = append(j.Avoid, e.info.ID)
+		j.ExcludedEngines = append(j.ExcludedEngines, e.info.ID)
 		e.pausedUntil = now.Add(noSlotBackoff)
 	}
 }
@@ -110,8 +110,8 @@
 		return 0
 	}
 	out := j.Prompt.TokensOut
-	if j.Prompt.LikelyOut > 0 {
-		out = min(out, j.Prompt.LikelyOut)
+	if j.Prompt.ExpectedOut > 0 {
+		out = min(out, j.Prompt.ExpectedOut)
 	}
 	return int64(j.Prompt.TokensIn + out/2)
 }
--- a/internal/stagework/plan.go
+++ b/internal/stagework/plan.go
@@ -103,7 +103,7 @@
 			expiry := q.madeAt.Add(u.service.limits.ResultLifetime - lifetimeMargin)
 			p.dueBy(expiry)
 			if q.target.removed || now.After(expiry) {
-				p.counts.Redo++
+				p.counts.Remade++
 				p.invalidateForecast()
 				p.releaseResult(q)
 				p.requeue(q, now)
@@ -186,7 +186,7 @@
 }
 
 func (p *Planner) rank(u *workUnit, now time.Time) rank {
-	start := u.job.Aim.Add(-p.downstream(u))
+	start := u.job.OnTimeUntil.Add(-p.downstream(u))
 	return rank{late: u.job.late || now.After(start), priority: u.job.Priority, start: start}
 }
 
--- a/internal/stagework/planner.go
+++ b/internal/stagework/planner.go
@@ -47,7 +47,7 @@
 	// retired is set while the cell is not part of the current partition of the
 	// targets.
 	retired    bool
-	bounds     Bounds
+	bounds     RateLimits
 	leadership leadership
 	policy     Policy
 }
@@ -56,8 +56,8 @@
 // pieces and calls without results; Hung counts those of the calls that timed
 // out.
 type Counts struct {
-	Jobs, Placed, Refused, Calls, Pieces       int
-	Room, Gone, Late, Errors, Full, Hung, Redo int
+	Jobs, Placed, Refused, Calls, Pieces                            int
+	OutOfMemory, InputsLost, Late, Errors, NoSlot, TimedOut, Remade int
 }
 
 // defaultReuse is the reuse window if none is configured.
@@ -67,8 +67,8 @@
 func (c Counts) plus(o Counts) Counts {
 	return Counts{
 		Jobs: c.Jobs + o.Jobs, Placed: c.Placed + o.Placed, Refused: c.Refused + o.Refused,
-		Calls: c.Calls + o.Calls, Pieces: c.Pieces + o.Pieces, Room: c.Room + o.Room, Gone: c.Gone + o.Gone,
-		Late: c.Late + o.Late, Errors: c.Errors + o.Errors, Full: c.Full + o.Full, Hung: c.Hung + o.Hung, Redo: c.Redo + o.Redo,
+		Calls: c.Calls + o.Calls, Pieces: c.Pieces + o.Pieces, OutOfMemory: c.OutOfMemory + o.OutOfMemory, InputsLost: c.InputsLost + o.InputsLost,
+		Late: c.Late + o.Late, Errors: c.Errors + o.Errors, NoSlot: c.NoSlot + o.NoSlot, TimedOut: c.TimedOut + o.TimedOut, Remade: c.Remade + o.Remade,
 	}
 }
 
@@ -160,7 +160,7 @@
 func (p *Planner) submit(in Job, notify func(Placement, *Refusal), now time.Time) (*job, *Refusal) {
 	p.counts.Jobs++
 	p.dueNow() // the new job may make others late, even if it is refused
-	in.Aim = earlier(in.Aim, in.Deadline)
+	in.OnTimeUntil = earlier(in.OnTimeUntil, in.Deadline)
 	j := &job{Job: in, arrived: now, notify: notify, session: in.session()}
 	if refusal := p.build(j, now); refusal != nil {
 		p.counts.Refused++
--- a/internal/stagework/policy.go
+++ b/internal/stagework/policy.go
@@ -24,11 +24,11 @@
 	// memory for its last piece. The symptom is targets that are idle while
 	// their memory is full.
 	NoRoom bool
-	// AnyPlace ignores cross-zone traffic: pieces go to any free target and
+	// AnyZone ignores cross-zone traffic: pieces go to any free target and
 	// engines are chosen in any zone. Results are then fetched over cross-zone
 	// links, which cost money and make calls longer. The symptom is a rise of
 	// cross-zone traffic.
-	AnyPlace bool
+	AnyZone bool
 	// LeastLoaded chooses the least loaded engine, regardless of the session's
 	// cached prompt parts. Each engine then processes the parts of each session
 	// again. The symptom is late first events on engines with free slots.
@@ -71,7 +71,7 @@
 func (p Policy) With(o Policy) Policy {
 	return Policy{
 		NoForecast: p.NoForecast || o.NoForecast, NoRoom: p.NoRoom || o.NoRoom,
-		AnyPlace: p.AnyPlace || o.AnyPlace, LeastLoaded: p.LeastLoaded || o.LeastLoaded,
+		AnyZone: p.AnyZone || o.AnyZone, LeastLoaded: p.LeastLoaded || o.LeastLoaded,
 		NoTakeover: p.NoTakeover || o.NoTakeover, EachByItself: p.EachByItself || o.EachByItself,
 		NoEarlyRefusal: p.NoEarlyRefusal || o.NoEarlyRefusal, NoMargin: p.NoMargin || o.NoMargin,
 		MixedCalls: p.MixedCalls || o.MixedCalls, NoRoomWait: p.NoRoomWait || o.NoRoomWait,
@@ -89,7 +89,7 @@
 
 // crossZoneWeight is the cost of a megabyte that crosses zones.
 func (p Policy) crossZoneWeight() float64 {
-	if p.AnyPlace {
+	if p.AnyZone {
 		return 0
 	}
 	return crossZoneWeight
@@ -98,7 +98,7 @@
 // loadCost is the cost of an engine that considers only its load and the zones
 // of the job's results.
 func (p *pool) loadCost(e *engine, j *job) float64 {
-	cost := p.policy.crossZoneWeight() * float64(j.bytesInOtherZones(e.info.Place)) / 1e6
+	cost := p.policy.crossZoneWeight() * float64(j.bytesInOtherZones(e.info.Zone)) / 1e6
 	cost += utilizationWeight * float64(e.running) / float64(max(p.limits.Slots, 1))
 	if p.limits.MemoryTokens > 0 {
 		cost += utilizationWeight * math.Pow(float64(e.tokens)/float64(p.limits.MemoryTokens), 4)
@@ -151,7 +151,7 @@
 // Submit submits a job. decide is called with each of its placements or its
 // refusal, made with its results; both are called from within the Stepper's
 // methods.
-func (s *Stepper) Submit(in Job, decide func(Placement, *Refusal), made func([]Made), now time.Time) (*Step, *Refusal) {
+func (s *Stepper) Submit(in Job, decide func(Placement, *Refusal), made func([]ResultRef), now time.Time) (*Step, *Refusal) {
 	j, refusal := s.p.submit(in, decide, now)
 	if refusal != nil {
 		return nil, refusal
@@ -160,8 +160,8 @@
 	return &Step{s.p, j}, nil
 }
 
-// Begun reports that the engine's answer has started.
-func (t *Step) Begun(now time.Time) { t.p.answerStarted(t.j, now) }
+// AnswerStarted reports that the engine's answer has started.
+func (t *Step) AnswerStarted(now time.Time) { t.p.answerStarted(t.j, now) }
 
 // Rejected reports that the engine did not run the job; inputsLost reports that
 // inputs were lost.
--- a/internal/stagework/results.go
+++ b/internal/stagework/results.go
@@ -74,7 +74,7 @@
 	u.freed = false
 	for _, q := range u.pieces {
 		if q.state == pieceDone {
-			p.counts.Redo++
+			p.counts.Remade++
 			if q.handle != "" {
 				p.releaseResult(q)
 			}
@@ -118,7 +118,7 @@
 	s.calls--
 	switch {
 	case noSlot:
-		p.counts.Full++
+		p.counts.NoSlot++
 		s.pausedUntil = now.Add(noSlotBackoff)
 		s.busyUntil = now.Add(noSlotBackoff)
 	case results == nil:
@@ -139,15 +139,15 @@
 		var r relay.PieceResult
 		switch {
 		case noSlot:
-			r.Fault = relay.PieceError
+			r.Status = relay.PieceError
 			q.attempts--
 		case results == nil:
-			r.Fault = relay.PieceError
+			r.Status = relay.PieceError
 		default:
 			r = results[i]
 		}
 		p.pieceFinished(q, s, r, now)
-		outOfMemory = outOfMemory || r.Fault == relay.PieceRoom
+		outOfMemory = outOfMemory || r.Status == relay.PieceNoMemory
 	}
 	if outOfMemory {
 		s.outOfMemory(now)
@@ -161,32 +161,32 @@
 // pieceFinished updates the state after a call with the outcome of one piece.
 func (p *Planner) pieceFinished(q *piece, s *stageTarget, r relay.PieceResult, now time.Time) {
 	u := q.unit
-	if r.Fault != relay.PieceMade {
+	if r.Status != relay.PieceDone {
 		s.usedBytes -= u.resultBytes
 	}
 	if u.job.state == jobEnded || u.freed {
-		if r.Fault == relay.PieceMade {
+		if r.Status == relay.PieceDone {
 			p.startRelease(s, r.Handle, u.resultBytes)
 		}
 		return
 	}
-	switch r.Fault {
-	case relay.PieceMade:
+	switch r.Status {
+	case relay.PieceDone:
 		q.state, q.handle, q.madeAt = pieceDone, r.Handle, now
 		if u.unfinished--; u.unfinished == 0 {
 			p.unitCompleted(u, now)
 		}
 		return
-	case relay.PieceRoom:
-		p.counts.Room++
+	case relay.PieceNoMemory:
+		p.counts.OutOfMemory++
 		q.attempts--
-	case relay.PieceGone:
-		p.counts.Gone++
+	case relay.PieceInputMissing:
+		p.counts.InputsLost++
 		p.remakeLostInputs(u, now)
-	case relay.PieceLate:
+	case relay.PieceExpired:
 		p.counts.Late++
 	default:
-		if r.Fault == relay.PieceError {
+		if r.Status == relay.PieceError {
 			p.counts.Errors++
 		}
 	}
@@ -213,7 +213,7 @@
 		suspects = all
 	}
 	for _, q := range suspects {
-		p.counts.Redo++
+		p.counts.Remade++
 		p.releaseResult(q)
 		p.requeue(q, now)
 	}
--- a/internal/stagework/retired.go
+++ b/internal/stagework/retired.go
@@ -43,8 +43,8 @@
 
 // overlapsAny reports whether any zone of the cell belongs to one of the cells.
 func overlapsAny(c Cell, cells []Cell) bool {
-	return c.Places == nil || slices.ContainsFunc(c.Places, func(zone string) bool {
-		return slices.ContainsFunc(cells, func(o Cell) bool { return o.Places == nil || slices.Contains(o.Places, zone) })
+	return c.Zones == nil || slices.ContainsFunc(c.Zones, func(zone string) bool {
+		return slices.ContainsFunc(cells, func(o Cell) bool { return o.Zones == nil || slices.Contains(o.Zones, zone) })
 	})
 }
 
--- a/internal/stagework/retired_test.go
+++ b/internal/stagework/retired_test.go
@@ -24,7 +24,7 @@
 		for k := range minTargetsPerCell {
 			for _, service := range []string{"cut", "lm"} {
 				id := fmt.Sprint(service, zone, k)
-				targets = append(targets, fleet.Target{ID: id, Service: service, Address: "at " + id, Place: zone})
+				targets = append(targets, fleet.Target{ID: id, Service: service, Address: "at " + id, Zone: zone})
 			}
 		}
 	}
@@ -35,7 +35,7 @@
 func evacuate(targets []fleet.Target, zone string) []fleet.Target {
 	after := slices.Clone(targets)
 	for i := range after {
-		after[i].Draining = after[i].Place == zone
+		after[i].Draining = after[i].Zone == zone
 	}
 	return after
 }
@@ -52,7 +52,7 @@
 	d.SetTargets(table, fleet.NewView(1, targets))
 	job := func(id string, zone string) Job {
 		return Job{
-			ID: id, Key: "k", Service: "lm", Aim: c.Now().Add(time.Minute), Deadline: c.Now().Add(time.Minute),
+			ID: id, Key: "k", Service: "lm", OnTimeUntil: c.Now().Add(time.Minute), Deadline: c.Now().Add(time.Minute),
 			Stages: []route.Stage{{Service: "cut", ResultBytes: 1}}, Pieces: []int{1}, Cell: []string{zone},
 		}
 	}
@@ -72,7 +72,7 @@
 	for id, assignment := range assignments {
 		select {
 		case got := <-assignment.Decisions():
-			if got.Next != "" {
+			if got.NextDispatcher != "" {
 				back[id[:2]]++
 			}
 		default:
@@ -104,7 +104,7 @@
 	table, targets := twoCells()
 	d.SetTargets(table, fleet.NewView(1, targets))
 	assignment, refusal := d.Submit(Job{
-		ID: "1", Key: "k", Service: "lm", Aim: c.Now().Add(time.Minute), Deadline: c.Now().Add(time.Minute),
+		ID: "1", Key: "k", Service: "lm", OnTimeUntil: c.Now().Add(time.Minute), Deadline: c.Now().Add(time.Minute),
 		Stages: []route.Stage{{Service: "cut", ResultBytes: 1}}, Pieces: []int{9}, Cell: []string{"p0"},
 	})
 	if refusal != nil {
--- a/internal/stagework/round.go
+++ b/internal/stagework/round.go
@@ -144,7 +144,7 @@
 		if !r.canMake(c, u, wait, last) {
 			continue
 		}
-		cost := r.waitCostPerMS*float64(wait.Milliseconds()) + crossZoneWeight*u.crossZoneBytes(c.info.Place, engineZone)/1e6 + c.slowCost
+		cost := r.waitCostPerMS*float64(wait.Milliseconds()) + crossZoneWeight*u.crossZoneBytes(c.info.Zone, engineZone)/1e6 + c.slowCost
 		if cost < bestCost {
 			best, bestCost = c, cost
 		}
--- a/internal/stagework/service.go
+++ b/internal/stagework/service.go
@@ -88,7 +88,7 @@
 	if now.Before(s.foreignUntil) {
 		used += s.foreignBytes
 	}
-	return int64(float64(s.service.limits.ResultRoom)*usableMemoryShare) - used
+	return int64(float64(s.service.limits.ResultMemory)*usableMemoryShare) - used
 }
 
 // outOfMemory records that the target unexpectedly rejected pieces for lack of
@@ -97,14 +97,14 @@
 // is sent the same pieces again at once, in calls that are rejected within
 // milliseconds.
 func (s *stageTarget) outOfMemory(now time.Time) {
-	s.foreignBytes = max(int64(float64(s.service.limits.ResultRoom)*usableMemoryShare)-s.usedBytes, 0)
+	s.foreignBytes = max(int64(float64(s.service.limits.ResultMemory)*usableMemoryShare)-s.usedBytes, 0)
 	s.foreignUntil = now.Add(foreignBytesExpiry)
 }
 
 // applyReport updates the memory taken by results of other dispatchers from a
 // report of the target.
 func (s *stageTarget) applyReport(freeBytes int64, now time.Time) {
-	s.foreignBytes = max(s.service.limits.ResultRoom-freeBytes-s.usedBytes, 0)
+	s.foreignBytes = max(s.service.limits.ResultMemory-freeBytes-s.usedBytes, 0)
 	s.foreignUntil = now.Add(s.service.limits.ResultLifetime)
 }
 
@@ -143,7 +143,7 @@
 	name         string
 	number       int // index of the service in declaration order
 	limits       route.Pieces
-	bounds       Bounds
+	bounds       RateLimits
 	targets      map[string]*stageTarget
 	byID         []*stageTarget // targets sorted by ID, so that decisions are deterministic
 	pendingUnits []*workUnit    // units with waiting pieces, unordered
@@ -224,7 +224,7 @@
 		return true
 	}
 	n := int64(healthy)
-	total := n*int64(float64(v.limits.ResultRoom)*usableMemoryShare) - n*u.resultBytes
+	total := n*int64(float64(v.limits.ResultMemory)*usableMemoryShare) - n*u.resultBytes
 	return v.reservedBytes+need <= total
 }
 
--- a/internal/stagework/transfer.go
+++ b/internal/stagework/transfer.go
@@ -5,7 +5,7 @@
 // adoptResults takes over the results that the job has from its previous
 // dispatcher. Pieces whose results are on unknown targets are executed again.
 func (p *Planner) adoptResults(j *job, now time.Time) {
-	for _, m := range j.Made {
+	for _, m := range j.Results {
 		if p.policy.NoTakeover {
 			break
 		}
@@ -26,7 +26,7 @@
 }
 
 // adopt marks the piece as done, with its result on the target.
-func (q *piece) adopt(s *stageTarget, m Made, now time.Time) {
+func (q *piece) adopt(s *stageTarget, m ResultRef, now time.Time) {
 	q.state, q.target, q.handle, q.madeAt = pieceDone, s, m.Handle, now.Add(-m.Age)
 	q.unit.waiting--
 	q.unit.unfinished--
@@ -46,7 +46,7 @@
 }
 
 // resultHolder returns the target that holds the result, nil if it is unknown.
-func (p *Planner) resultHolder(j *job, m Made) *stageTarget {
+func (p *Planner) resultHolder(j *job, m ResultRef) *stageTarget {
 	if m.Stage < 0 || m.Stage >= len(j.Stages) {
 		return nil
 	}
@@ -68,8 +68,8 @@
 }
 
 // results returns references to the job's results that are still needed.
-func (j *job) results(now time.Time) []Made {
-	var list []Made
+func (j *job) results(now time.Time) []ResultRef {
+	var list []ResultRef
 	for _, u := range j.units {
 		for _, q := range u.pieces {
 			if q.state == pieceDone && q.handle != "" {
@@ -81,14 +81,14 @@
 }
 
 // result returns the reference to the piece's result that the owner keeps.
-func (q *piece) result(now time.Time) Made {
-	return Made{Stage: q.unit.stage, Number: q.number, Target: q.target.info.ID, Handle: q.handle, Age: now.Sub(q.madeAt)}
+func (q *piece) result(now time.Time) ResultRef {
+	return ResultRef{Stage: q.unit.stage, Number: q.number, Target: q.target.info.ID, Handle: q.handle, Age: now.Sub(q.madeAt)}
 }
 
 // notifyOwners reports the results of the call's pieces to the owners of their
 // jobs.
 func (c *call) notifyOwners(now time.Time) {
-	byJob := make(map[*job][]Made)
+	byJob := make(map[*job][]ResultRef)
 	for _, q := range c.pieces {
 		if j := q.unit.job; j.onResults != nil && q.state == pieceDone && q.handle != "" {
 			byJob[j] = append(byJob[j], q.result(now))
@@ -123,7 +123,7 @@
 func (p *Planner) startReturn(all bool) {
 	p.dueNow()
 	for _, j := range p.staging() {
-		if len(j.units) > 0 && (all || j.Insist != InsistTried) {
+		if len(j.units) > 0 && (all || j.RankOverride != OverrideUnreachable) {
 			j.returning = true
 		}
 	}
--- a/internal/stagework/transfer_test.go
+++ b/internal/stagework/transfer_test.go
@@ -15,7 +15,7 @@
 // with memory for ten results each, and one engine.
 func twoStages(gaveUp func(handles []string)) *Planner {
 	p := NewPlanner(func(_ string, handles []string) { gaveUp(handles) })
-	pieces := route.Pieces{Slots: 1, Batch: 8, CallTime: 100 * ms, ResultRoom: 1000, ResultLifetime: 4 * time.Second}
+	pieces := route.Pieces{Slots: 1, Batch: 8, CallTime: 100 * ms, ResultMemory: 1000, ResultLifetime: 4 * time.Second}
 	table := (&route.Table{Services: map[string]*route.Service{
 		"cut": {Name: "cut", Pieces: &pieces}, "join": {Name: "join", Pieces: &pieces},
 		"lm": {Name: "lm", Engine: &route.Engine{Slots: 8, MemoryTokens: 1 << 20}},
@@ -28,7 +28,7 @@
 
 func stagedJob(id string, pieces int, now time.Time) Job {
 	return Job{
-		ID: id, Key: "k", Service: "lm", Aim: now.Add(10 * time.Second), Deadline: now.Add(20 * time.Second), Prompt: &relay.Prompt{},
+		ID: id, Key: "k", Service: "lm", OnTimeUntil: now.Add(10 * time.Second), Deadline: now.Add(20 * time.Second), Prompt: &relay.Prompt{},
 		Stages: []route.Stage{{Service: "cut", ResultBytes: 100}, {Service: "join", ResultBytes: 100, After: []int{0}}},
 		Pieces: []int{pieces, 1},
 	}
@@ -41,7 +41,7 @@
 	for i, q := range c.pieces {
 		results[i] = relay.PieceResult{Handle: fmt.Sprintf("%s%d%d", q.unit.job.ID, q.unit.stage, q.number)}
 		if i >= made {
-			results[i] = relay.PieceResult{Fault: relay.PieceRoom}
+			results[i] = relay.PieceResult{Status: relay.PieceNoMemory}
 		}
 	}
 	return results
@@ -56,12 +56,12 @@
 	first := twoStages(func(handles []string) {
 		t.Errorf("the first dispatcher released %v, which it should transfer", handles)
 	})
-	var reported []Made
+	var reported []ResultRef
 	j, refusal := first.submit(stagedJob("r", 3, now), nil, now)
 	if refusal != nil {
 		t.Fatal(refusal.Reason)
 	}
-	j.onResults = func(made []Made) { reported = append(reported, made...) }
+	j.onResults = func(made []ResultRef) { reported = append(reported, made...) }
 	calls := first.plan(now)
 	now = now.Add(100 * ms)
 	first.callFinished(calls[0], answered(calls[0], 3), false, now)
@@ -76,7 +76,7 @@
 	var gaveUp []string
 	second := twoStages(func(handles []string) { gaveUp = append(gaveUp, handles...) })
 	moved := stagedJob("r", 3, now)
-	moved.Made = append(reported, Made{Stage: 0, Number: 7, Target: "c1", Handle: "no such piece"}, Made{Stage: 5, Target: "gone"})
+	moved.Results = append(reported, ResultRef{Stage: 0, Number: 7, Target: "c1", Handle: "no such piece"}, ResultRef{Stage: 5, Target: "gone"})
 	var placed Placement
 	j, refusal = second.submit(moved, func(p Placement, _ *Refusal) { placed = p }, now)
 	if refusal != nil {
@@ -107,10 +107,10 @@
 func TestBegunJobsAreGivenBackWithTheirResults(t *testing.T) {
 	now := time.Unix(0, 0)
 	p := twoStages(func(handles []string) { t.Errorf("released %v", handles) })
-	var back []Made
+	var back []ResultRef
 	given := 0
 	j, _ := p.submit(stagedJob("r", 2, now), nil, now)
-	j.onReturn = func(results []Made) { back, given = results, given+1 }
+	j.onReturn = func(results []ResultRef) { back, given = results, given+1 }
 	calls := p.plan(now)
 	p.startReturn(false)
 	if p.plan(now); given != 0 {
--- a/internal/standin/fleet/deployment.go
+++ b/internal/standin/fleet/deployment.go
@@ -120,7 +120,7 @@
 type Deployment struct {
 	Name     string
 	Region   string
-	Places   []string
+	Zones    []string
 	Platform *platform.Server
 	Weights  *engine.WeightStore
 
@@ -141,7 +141,7 @@
 	d := &Deployment{
 		Name:    opts.Name,
 		Region:  layout.region,
-		Places:  slices.Clone(layout.places),
+		Zones:   slices.Clone(layout.zones),
 		Weights: engine.NewWeightStore(opts.WeightLoadTime),
 		opts:    opts,
 	}
@@ -155,7 +155,7 @@
 func (d *Deployment) start(layout layout) error {
 	options := d.opts.Platform
 	options.Seed = d.opts.Seed
-	options.Listen = d.listen(PlatformID, d.Places[0])
+	options.Listen = d.listen(PlatformID, d.Zones[0])
 	server, err := platform.New(options)
 	if err != nil {
 		return err
@@ -186,13 +186,13 @@
 
 func (d *Deployment) startMember(p pool, index, count int) (*Member, error) {
 	id := fmt.Sprintf("%s-%d", p.service, index+1)
-	zone := d.Places[index%len(d.Places)]
+	zone := d.Zones[index%len(d.Zones)]
 	seed := d.opts.Seed*1000 + uint64(len(d.members)) + 1
 	member := &Member{Instance: platformapi.Instance{
 		ID:      id,
 		Service: p.service,
 		Kind:    p.kind,
-		Place:   zone,
+		Zone:    zone,
 		Region:  d.Region,
 		State:   platformapi.StateLive,
 	}}
@@ -228,7 +228,7 @@
 		Models:      d.opts.Models,
 		Weights:     d.Weights,
 		Price:       provider.price,
-		Listen:      d.listen(member.Instance.ID, member.Instance.Place),
+		Listen:      d.listen(member.Instance.ID, member.Instance.Zone),
 	})
 	if err != nil {
 		return err
@@ -245,7 +245,7 @@
 		Median:  time.Duration(float64(p.median) * d.opts.TimeScale),
 		Cost:    p.cost,
 		LoadLag: d.opts.LoadLag,
-		Listen:  d.listen(member.Instance.ID, member.Instance.Place),
+		Listen:  d.listen(member.Instance.ID, member.Instance.Zone),
 	})
 	if err != nil {
 		return err
@@ -263,7 +263,7 @@
 		return nil
 	}
 	owner := d.Owner(id)
-	d.opts.Network.SetPlace(owner, zone)
+	d.opts.Network.SetZone(owner, zone)
 	return func(addr string) (net.Listener, error) { return d.opts.Network.Listen(owner, addr) }
 }
 
@@ -271,8 +271,8 @@
 	if d.opts.Network == nil || !d.opts.Latency {
 		return
 	}
-	for i, a := range d.Places {
-		for _, b := range d.Places[i+1:] {
+	for i, a := range d.Zones {
+		for _, b := range d.Zones[i+1:] {
 			d.opts.Network.SetLatency(a, b, layout.latency)
 		}
 	}
--- a/internal/standin/fleet/fleet_test.go
+++ b/internal/standin/fleet/fleet_test.go
@@ -70,8 +70,8 @@
 				t.Errorf("%s: %d of %s, want %d", name, listed[service], service, count)
 			}
 		}
-		if providers[ProviderOld] != 6 || providers[ProviderNew] != 6 || len(d.Places) != 4 {
-			t.Errorf("%s: providers %v, zones %v", name, providers, d.Places)
+		if providers[ProviderOld] != 6 || providers[ProviderNew] != 6 || len(d.Zones) != 4 {
+			t.Errorf("%s: providers %v, zones %v", name, providers, d.Zones)
 		}
 	}
 }
@@ -130,7 +130,7 @@
 	network := netfault.New()
 	t.Cleanup(network.Close)
 	d := start(t, Options{Name: Kilimanjaro, Scale: 0.2, TimeScale: 0.1, Network: network, Latency: true})
-	network.SetPlace("daemon-1", d.Places[0])
+	network.SetZone("daemon-1", d.Zones[0])
 	transport := &http.Transport{DialContext: network.Dialer("daemon-1")}
 	t.Cleanup(transport.CloseIdleConnections)
 	client := &http.Client{Transport: transport}
@@ -145,7 +145,7 @@
 		}
 		return resp.Body.Close()
 	}
-	near, far := d.Place(d.Places[0])[0], d.Place(d.Places[1])[0]
+	near, far := d.Zone(d.Zones[0])[0], d.Zone(d.Zones[1])[0]
 	network.Cut(netfault.Partition{A: []string{"daemon-1"}, B: []string{d.Owner(far.Instance.ID)}})
 	short, cancel := context.WithTimeout(t.Context(), 20*time.Millisecond)
 	defer cancel()
--- a/internal/standin/fleet/layout.go
+++ b/internal/standin/fleet/layout.go
@@ -42,7 +42,7 @@
 // layout is what a deployment consists of.
 type layout struct {
 	region        string
-	places        []string
+	zones         []string
 	latency       time.Duration // one way, between zones
 	pools         []pool
 	organisations []string
@@ -84,7 +84,7 @@
 var layouts = map[string]layout{
 	MediaPlace: {
 		region:  "tunis",
-		places:  []string{"lac-a", "lac-b", "charguia", "ariana"},
+		zones:   []string{"lac-a", "lac-b", "charguia", "ariana"},
 		latency: LatencyMediaPlace,
 		pools: append(slices.Clone(modelPools),
 			plain("traffic-api", 4, 4*time.Millisecond, 0.01),
@@ -96,7 +96,7 @@
 	},
 	Kilimanjaro: {
 		region:  "dar-es-salaam",
-		places:  []string{"msasani", "kariakoo", "mikocheni", "upanga"},
+		zones:   []string{"msasani", "kariakoo", "mikocheni", "upanga"},
 		latency: LatencyKilimanjaro,
 		pools: append(slices.Clone(modelPools),
 			plain("device-api", 4, 4*time.Millisecond, 0.01),
--- a/internal/standin/fleet/members.go
+++ b/internal/standin/fleet/members.go
@@ -26,9 +26,9 @@
 	return d.filter(func(m *Member) bool { return m.Instance.Service == name })
 }
 
-// Place returns the targets in a zone.
-func (d *Deployment) Place(name string) []*Member {
-	return d.filter(func(m *Member) bool { return m.Instance.Place == name })
+// Zone returns the targets in a zone.
+func (d *Deployment) Zone(name string) []*Member {
+	return d.filter(func(m *Member) bool { return m.Instance.Zone == name })
 }
 
 func (d *Deployment) filter(keep func(*Member) bool) []*Member {
--- a/internal/standin/netfault/netfault_test.go
+++ b/internal/standin/netfault/netfault_test.go
@@ -95,8 +95,8 @@
 
 func TestLatencyKeepsTheBytesInOrder(t *testing.T) {
 	n := network(t)
-	n.SetPlace("a", "lac-a")
-	n.SetPlace("b", "lac-b")
+	n.SetZone("a", "lac-a")
+	n.SetZone("b", "lac-b")
 	n.SetLatencyBetween(2 * time.Millisecond)
 	l := dial(t, n, "a", echo(t, n, "b"))
 	for i := range 200 {
@@ -113,9 +113,9 @@
 	l.nothing(t)
 }
 
-func TestLatencyOfPlaces(t *testing.T) {
+func TestLatencyOfZones(t *testing.T) {
 	r := newRules()
-	r.places = map[string]string{"a": "x", "b": "y", "c": "y", "d": "z"}
+	r.zones = map[string]string{"a": "x", "b": "y", "c": "y", "d": "z"}
 	r.between = 2 * time.Millisecond
 	r.latency[pairOf("y", "x")] = 5 * time.Millisecond
 	r.latency[pairOf("z", "z")] = time.Millisecond
@@ -127,8 +127,8 @@
 
 func TestLargeWritesThroughLatency(t *testing.T) {
 	n := network(t)
-	n.SetPlace("a", "x")
-	n.SetPlace("b", "y")
+	n.SetZone("a", "x")
+	n.SetZone("b", "y")
 	n.SetLatencyBetween(time.Millisecond)
 	l := dial(t, n, "a", echo(t, n, "b"))
 	text := strings.Repeat("0123456789", 3*maxHeld/10)
--- a/internal/standin/netfault/network.go
+++ b/internal/standin/netfault/network.go
@@ -64,9 +64,9 @@
 	}
 }
 
-// SetPlace says in which zone an owner is.
-func (n *Network) SetPlace(owner, zone string) {
-	n.change(func(r *rules) { r.places[owner] = zone })
+// SetZone says in which zone an owner is.
+func (n *Network) SetZone(owner, zone string) {
+	n.change(func(r *rules) { r.zones[owner] = zone })
 }
 
 // SetLatency sets the one-way latency between two zones, or within one.
@@ -201,7 +201,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	others := make(map[string]bool)
-	for name := range n.rules.Load().places {
+	for name := range n.rules.Load().zones {
 		others[name] = true
 	}
 	for _, name := range n.addresses {
--- a/internal/standin/netfault/order_test.go
+++ b/internal/standin/netfault/order_test.go
@@ -15,8 +15,8 @@
 	for seed := range uint64(4) {
 		rng := rand.New(rand.NewPCG(seed, 0))
 		n := network(t)
-		n.SetPlace("a", "x")
-		n.SetPlace("b", "y")
+		n.SetZone("a", "x")
+		n.SetZone("b", "y")
 		l := dial(t, n, "a", echo(t, n, "b"))
 		wrote := make(chan error)
 		go func() {
--- a/internal/standin/netfault/rules.go
+++ b/internal/standin/netfault/rules.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// placePair is an unordered pair of zones, the lesser name first.
-type placePair struct{ a, b string }
+// zonePair is an unordered pair of zones, the lesser name first.
+type zonePair struct{ a, b string }
 
-func pairOf(a, b string) placePair {
+func pairOf(a, b string) zonePair {
 	if b < a {
 		a, b = b, a
 	}
-	return placePair{a, b}
+	return zonePair{a, b}
 }
 
 // cut stops what owners in from send to owners in to.
@@ -30,8 +30,8 @@
 // old one, so that whoever waits for a rule looks again.
 type rules struct {
 	changed chan struct{}
-	places  map[string]string // by owner
-	latency map[placePair]time.Duration
+	zones   map[string]string // by owner
+	latency map[zonePair]time.Duration
 	between time.Duration // different zones without an entry in latency
 	cuts    []cut
 	frozen  map[string]bool
@@ -41,8 +41,8 @@
 func newRules() *rules {
 	return &rules{
 		changed: make(chan struct{}),
-		places:  map[string]string{},
-		latency: map[placePair]time.Duration{},
+		zones:   map[string]string{},
+		latency: map[zonePair]time.Duration{},
 		frozen:  map[string]bool{},
 		dead:    map[string]bool{},
 	}
@@ -51,7 +51,7 @@
 func (r *rules) clone() *rules {
 	return &rules{
 		changed: make(chan struct{}),
-		places:  maps.Clone(r.places),
+		zones:   maps.Clone(r.zones),
 		latency: maps.Clone(r.latency),
 		between: r.between,
 		cuts:    slices.Clone(r.cuts),
@@ -63,7 +63,7 @@
 // delay returns the one-way latency between two owners. It is 0 where one of
 // them has no zone.
 func (r *rules) delay(from, to string) time.Duration {
-	a, b := r.places[from], r.places[to]
+	a, b := r.zones[from], r.zones[to]
 	if a == "" || b == "" {
 		return 0
 	}
--- a/internal/store/memstore/copy.go
+++ b/internal/store/memstore/copy.go
@@ -7,23 +7,23 @@
 	"lynxhill.example/lynxhill/internal/store"
 )
 
-// Copy is the state of a store at one point in time.
-type Copy struct {
+// Snapshot is the state of a store at one point in time.
+type Snapshot struct {
 	objects   map[string]store.Object
 	version   uint64
 	instances map[string][]listEntry
 }
 
-// Copy returns the current state of the store.
-func (s *Store) Copy() Copy {
+// Snapshot returns the current state of the store.
+func (s *Store) Snapshot() Snapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return Copy{objects: maps.Clone(s.objects), version: s.version, instances: cloneInstances(s.instances)}
+	return Snapshot{objects: maps.Clone(s.objects), version: s.version, instances: cloneInstances(s.instances)}
 }
 
-// Return restores the store to an older state in a new era: later writes are lost and
+// Restore restores the store to an older state in a new era: later writes are lost and
 // their revisions are assigned again. Watches have to list again.
-func (s *Store) Return(c Copy) {
+func (s *Store) Restore(c Snapshot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	era := store.EraOf(s.version) + 1
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -83,15 +83,15 @@
 
 type staleKey struct{}
 
-// WithOld allows the reads under ctx (Get, List and Instances, but not Watch) to
+// AllowStale allows the reads under ctx (Get, List and Instances, but not Watch) to
 // return data that may be seconds old, where the platform offers stale reads at a
 // lower cost. It is for data that is read again later or corrected by other means.
-func WithOld(ctx context.Context) context.Context {
+func AllowStale(ctx context.Context) context.Context {
 	return context.WithValue(ctx, staleKey{}, true)
 }
 
-// MayBeOld reports whether WithOld was set.
-func MayBeOld(ctx context.Context) bool {
+// StaleAllowed reports whether WithOld was set.
+func StaleAllowed(ctx context.Context) bool {
 	old, _ := ctx.Value(staleKey{}).(bool)
 	return old
 }
--- a/internal/storeclient/standin_test.go
+++ b/internal/storeclient/standin_test.go
@@ -55,10 +55,10 @@
 func TestClaimsOverStandin(t *testing.T) {
 	server := newStandin(t)
 	server.LoseReplies(0.2)
-	var pages []*claim.Pages
+	var pages []*claim.StoreClaimer
 	for i := range 2 {
 		c := New(Options{Endpoints: []string{server.Addr()}, Seed: uint64(i), Budget: Budget{WritesPerSecond: 1e4, ReadsPerSecond: 1e4}})
-		pages = append(pages, claim.NewPages(claim.PagesOptions{
+		pages = append(pages, claim.NewStoreClaimer(claim.StoreOptions{
 			Store: c, Self: fmt.Sprint(i), Rand: rand.New(rand.NewPCG(uint64(i), 1)), Shards: 2, FlushInterval: 5 * time.Millisecond,
 		}))
 	}
--- a/internal/target/call.go
+++ b/internal/target/call.go
@@ -113,7 +113,7 @@
 	cause := context.Cause(x.ctx)
 	switch {
 	case errors.Is(cause, errSilentConn):
-		f.Class, f.Err, f.Connection = stagecall.ClassSilent, cause, true
+		f.Class, f.Err, f.ConnectionLost = stagecall.ClassSilent, cause, true
 		x.retire()
 	case errors.Is(cause, errSilentFirst), errors.Is(cause, errSilentProgress):
 		f.Class, f.Err = stagecall.ClassSilent, cause
@@ -124,7 +124,7 @@
 		f.Class = stagecall.ClassConnect
 	default:
 		f.Class = stagecall.ClassBroken
-		f.Connection = errors.Is(err, errConnLost) || errors.Is(cause, errConnLost)
+		f.ConnectionLost = errors.Is(err, errConnLost) || errors.Is(cause, errConnLost)
 		x.retire()
 	}
 	return f
--- a/internal/target/lost_test.go
+++ b/internal/target/lost_test.go
@@ -113,7 +113,7 @@
 	}
 	once, repeatable := run(stagecall.Options{}), run(stagecall.Options{FirstByte: time.Hour})
 	barrier.close()
-	if f := stagecall.FailureOf(<-repeatable); f.Class != stagecall.ClassBroken || !f.Connection {
+	if f := stagecall.FailureOf(<-repeatable); f.Class != stagecall.ClassBroken || !f.ConnectionLost {
 		t.Errorf("the call that may be retried: %+v", f)
 	}
 	later := run(stagecall.Options{})
--- a/internal/target/silent_test.go
+++ b/internal/target/silent_test.go
@@ -137,7 +137,7 @@
 	}
 	close(mute)
 	for range 2 {
-		if f := stagecall.FailureOf(<-ended); f.Class != stagecall.ClassSilent || !f.Connection || f.NotRun {
+		if f := stagecall.FailureOf(<-ended); f.Class != stagecall.ClassSilent || !f.ConnectionLost || f.NotRun {
 			t.Errorf("failure %+v, want silent by the connection's fault", f)
 		}
 	}
--- a/internal/tlsconf/tlsconf.go
+++ b/internal/tlsconf/tlsconf.go
@@ -88,8 +88,8 @@
 // Run reads the files again whenever one changes, until ctx ends.
 func (r *Reloader) Run(ctx context.Context) {
 	filewatch.Watch{
-		Files: r.files(), Every: r.opts.PollEvery, Clock: r.opts.Clock,
-		Used: r.used, Reload: r.Reload, Done: r.reloaded,
+		Files: r.files(), Interval: r.opts.PollEvery, Clock: r.opts.Clock,
+		LoadedState: r.used, Reload: r.Reload, OnReload: r.reloaded,
 	}.Run(ctx)
 }
 
--- a/internal/virtualtest/virtualtest.go
+++ b/internal/virtualtest/virtualtest.go
@@ -29,7 +29,7 @@
 	addr := fmt.Sprintf("10.0.%d.%d:7300", i/250, i%250)
 	return board.Member{
 		ID: fmt.Sprintf("lynxhill-%03d", i), CallerAddr: "c" + addr, AdminAddr: "a" + addr, PeerAddr: addr,
-		Place: fmt.Sprintf("place-%d", i%4), Region: "tunis",
+		Zone: fmt.Sprintf("place-%d", i%4), Region: "tunis",
 	}
 }
 
--- a/internal/wire/lynxapi/admin.go
+++ b/internal/wire/lynxapi/admin.go
@@ -63,11 +63,11 @@
 	Name     string             `json:"name"`
 	Version  uint64             `json:"version"`
 	Diff     []profile.DiffLine `json:"diff,omitempty"`
-	Force    ForceReply         `json:"force"`
+	Force    InForceReply       `json:"force"`
 }
 
-// ForceReply states on how many instances a version is in force.
-type ForceReply struct {
+// InForceReply states on how many instances a version is in force.
+type InForceReply struct {
 	Name    string   `json:"name"`
 	Version uint64   `json:"version"`
 	Total   int      `json:"total"`    // instances that may serve
@@ -99,7 +99,7 @@
 	State       string  `json:"state"`
 	CallerAddr  string  `json:"caller_addr"`
 	AdminAddr   string  `json:"admin_addr"`
-	Place       string  `json:"place"`
+	Zone        string  `json:"place"`
 	Region      string  `json:"region"`
 	Room        float64 `json:"room"`
 	InFlight    int     `json:"in_flight"`
@@ -117,7 +117,7 @@
 	Service  string   `json:"service"`
 	Kind     string   `json:"kind"`
 	Provider string   `json:"provider"`
-	Place    string   `json:"place"`
+	Zone     string   `json:"place"`
 	Address  string   `json:"address"`
 	Leaving  bool     `json:"leaving"`
 	Running  int      `json:"running"`
@@ -134,22 +134,22 @@
 
 // Status is a summary of an instance and of what it sees of the system.
 type Status struct {
-	Instance    string       `json:"instance"`
-	Place       string       `json:"place"`
-	Ready       bool         `json:"ready"`
-	Isolated    bool         `json:"isolated"`
-	Stopping    bool         `json:"stopping"`
-	StoreUp     bool         `json:"store_up"`
-	Members     int          `json:"members"`
-	Alive       int          `json:"alive"`
-	Targets     int          `json:"targets"`
-	Leaving     int          `json:"leaving"`
-	InFlight    int          `json:"in_flight"`
-	Profiles    []ForceReply `json:"profiles"`
-	Violations  int          `json:"violations"`
-	StoreCalls  uint64       `json:"store_calls"`
-	UptimeS     float64      `json:"uptime_s"`
-	OrderGivers []OrderGiver `json:"order_givers,omitempty"`
+	Instance    string         `json:"instance"`
+	Zone        string         `json:"place"`
+	Ready       bool           `json:"ready"`
+	Isolated    bool           `json:"isolated"`
+	Stopping    bool           `json:"stopping"`
+	StoreUp     bool           `json:"store_up"`
+	Members     int            `json:"members"`
+	Alive       int            `json:"alive"`
+	Targets     int            `json:"targets"`
+	Leaving     int            `json:"leaving"`
+	InFlight    int            `json:"in_flight"`
+	Profiles    []InForceReply `json:"profiles"`
+	Violations  int            `json:"violations"`
+	StoreCalls  uint64         `json:"store_calls"`
+	UptimeS     float64        `json:"uptime_s"`
+	OrderGivers []OrderGiver   `json:"order_givers,omitempty"`
 }
 
 // OrderGiver is the instance that gives orders to the engines of a service.
--- a/internal/wire/lynxapi/caller.go
+++ b/internal/wire/lynxapi/caller.go
@@ -41,7 +41,7 @@
 type Address struct {
 	ID      string  `json:"id"`
 	Address string  `json:"address"` // IP:port
-	Place   string  `json:"place"`
+	Zone    string  `json:"place"`
 	Region  string  `json:"region"`
 	Weight  float64 `json:"weight"`
 }
--- a/internal/wire/platformapi/platformapi.go
+++ b/internal/wire/platformapi/platformapi.go
@@ -51,7 +51,7 @@
 	Kind     string `json:"kind"` // lynxhill, generate, encode, retrieve, rerank or service
 	Address  string `json:"address"`
 	Peer     string `json:"peer,omitempty"` // lynxhill only: address of the peer listener
-	Place    string `json:"place"`
+	Zone     string `json:"place"`
 	Region   string `json:"region"`
 	Provider string `json:"provider,omitempty"`
 	State    string `json:"state"`
