--- a/internal/client/address.go
+++ b/internal/client/address.go
@@ -13,59 +13,61 @@
 	"lynxhill.example/lynxhill/internal/wire/lynxapi"
 )
 
-// Bounds of what is remembered of instances.
+// Durations of instance discovery.
 const (
-	// avoidFor is how long an instance that was unreachable is tried last.
+	// avoidFor is how long an unavailable instance is avoided, which means
+	// that it is tried only after the others.
 	avoidFor = 5 * time.Second
-	// addressTimeout bounds one question for addresses, so that a silent
-	// instance costs little before the next is asked.
+	// addressTimeout is the timeout of one address request, so that an
+	// unresponsive instance delays the request to the next one only briefly.
 	addressTimeout = 2 * time.Second
-	// askStagger is how long one server has to answer before the next is
-	// asked beside it.
-	askStagger = 200 * time.Millisecond
+	// hedgeDelay is how long one server has to answer an address request
+	// before a hedged request is sent to the next server.
+	hedgeDelay = 200 * time.Millisecond
 )
 
-// addressBook keeps the address answer for as long as it says.
-type addressBook struct {
+// addressCache caches the last address answer for the duration that the answer
+// states, and remembers which instances to avoid.
+type addressCache struct {
 	mu      sync.Mutex // guards the fields below
 	answer  lynxapi.AddressAnswer
-	until   time.Time
-	avoided map[string]time.Time // by address: until when it is tried last
+	expires time.Time
+	avoided map[string]time.Time // by address: the end of the time in which it is tried last
 }
 
-func newAddressBook() *addressBook {
-	return &addressBook{avoided: make(map[string]time.Time)}
+func newAddressCache() *addressCache {
+	return &addressCache{avoided: make(map[string]time.Time)}
 }
 
-// fresh returns the kept answer while it holds.
-func (b *addressBook) fresh(now time.Time) (lynxapi.AddressAnswer, bool) {
+// fresh returns the cached answer and whether it is still valid.
+func (b *addressCache) fresh(now time.Time) (lynxapi.AddressAnswer, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.answer, len(b.answer.Addresses) > 0 && now.Before(b.until)
+	return b.answer, len(b.answer.Addresses) > 0 && now.Before(b.expires)
 }
 
-func (b *addressBook) keep(answer lynxapi.AddressAnswer, now time.Time) {
+func (b *addressCache) store(answer lynxapi.AddressAnswer, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.answer = answer
-	b.until = now.Add(time.Duration(answer.KeepMS) * time.Millisecond)
+	b.expires = now.Add(time.Duration(answer.KeepMS) * time.Millisecond)
 }
 
-// expire makes the next request ask again; the answer stays for the case that
-// nobody answers.
-func (b *addressBook) expire() {
+// expire makes the next request fetch a new answer. The old answer is kept as a
+// fallback in case no server responds.
+func (b *addressCache) expire() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.until = time.Time{}
+	b.expires = time.Time{}
 }
 
-func (b *addressBook) last() lynxapi.AddressAnswer {
+func (b *addressCache) last() lynxapi.AddressAnswer {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.answer
 }
 
-func (b *addressBook) avoid(address string, now time.Time) {
+func (b *addressCache) avoid(address string, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for old, until := range b.avoided {
@@ -76,49 +78,50 @@
 	b.avoided[address] = now.Add(avoidFor)
 }
 
-func (b *addressBook) isAvoided(address string, now time.Time) bool {
+func (b *addressCache) isAvoided(address string, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return now.Before(b.avoided[address])
 }
 
-// Address returns the kept address answer, or asks for a new one when it has
-// run out. When nobody answers, an answer that has run out is better than none.
+// Address returns the cached address answer, or fetches a new one if the cached
+// one has expired. If no server responds, it returns the expired answer, if
+// there is one.
 func (c *Caller) Address(ctx context.Context) (lynxapi.AddressAnswer, error) {
-	if answer, ok := c.book.fresh(time.Now()); ok {
+	if answer, ok := c.addresses.fresh(time.Now()); ok {
 		return answer, nil
 	}
-	answer, err := c.askAny(ctx, c.askable())
+	answer, err := c.fetchAddresses(ctx, c.serversToAsk())
 	if err == nil {
-		c.book.keep(answer, time.Now())
+		c.addresses.store(answer, time.Now())
 		return answer, nil
 	}
-	if old := c.book.last(); len(old.Addresses) > 0 && worthAskingElsewhere(err) {
+	if old := c.addresses.last(); len(old.Addresses) > 0 && mayRetryElsewhere(err) {
 		return old, nil
 	}
 	return lynxapi.AddressAnswer{}, err
 }
 
-// asked is what one server answered.
-type asked struct {
+// addressResult is the result of an address request to one server.
+type addressResult struct {
 	answer lynxapi.AddressAnswer
 	err    error
 }
 
-// askAny asks the servers in turn: the next one when one has failed, and also
-// when it has not answered for askStagger. A server that went silent would
-// otherwise cost addressTimeout of a request's deadline. The first answer
-// counts.
-func (c *Caller) askAny(ctx context.Context, servers []string) (lynxapi.AddressAnswer, error) {
+// fetchAddresses requests addresses from the servers in order and returns the
+// first answer. It continues with the next server when one has failed and also,
+// as a hedge, when no result has arrived for hedgeDelay. Otherwise an
+// unresponsive server would cost addressTimeout of a request's deadline.
+func (c *Caller) fetchAddresses(ctx context.Context, servers []string) (lynxapi.AddressAnswer, error) {
 	if len(servers) == 0 {
 		return lynxapi.AddressAnswer{}, ErrNoServers
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	answers := make(chan asked, len(servers))
+	answers := make(chan addressResult, len(servers))
 	ask := func(server string) {
-		answer, err := c.askAddress(ctx, server)
-		answers <- asked{answer, err}
+		answer, err := c.fetchAddressFrom(ctx, server)
+		answers <- addressResult{answer, err}
 	}
 	next, waiting := 0, 0
 	var last error
@@ -128,42 +131,44 @@
 			next++
 			waiting++
 		}
-		got, ok := awaitAnswer(answers, next < len(servers))
+		result, ok := awaitAnswer(answers, next < len(servers))
 		if !ok {
 			continue
 		}
 		waiting--
-		if got.err == nil {
-			return got.answer, nil
+		if result.err == nil {
+			return result.answer, nil
 		}
-		last = got.err
-		if ctx.Err() != nil || !worthAskingElsewhere(last) || (waiting == 0 && next == len(servers)) {
+		last = result.err
+		if ctx.Err() != nil || !mayRetryElsewhere(last) || (waiting == 0 && next == len(servers)) {
 			return lynxapi.AddressAnswer{}, last
 		}
 	}
 }
 
-// awaitAnswer waits for the next answer, or only for askStagger if there is
-// another server to ask. Every question ends with ctx or its own timeout, so
-// that an answer always comes.
-func awaitAnswer(answers <-chan asked, more bool) (asked, bool) {
+// awaitAnswer waits for the next result, but at most for hedgeDelay if there is
+// another server to send a request to. A result always arrives, because every
+// address request ends with ctx or its own timeout.
+func awaitAnswer(answers <-chan addressResult, more bool) (addressResult, bool) {
 	if !more {
 		return <-answers, true
 	}
-	timer := time.NewTimer(askStagger)
+	timer := time.NewTimer(hedgeDelay)
 	defer timer.Stop()
 	select {
 	case got := <-answers:
 		return got, true
 	case <-timer.C:
-		return asked{}, false
+		return addressResult{}, false
 	}
 }
 
-// askable lists whom to ask: the instances last heard of, then the seeds.
-func (c *Caller) askable() []string {
+// serversToAsk returns the servers for address requests in the order to try:
+// the instances of the last answer, then the configured servers, each group in
+// random order. Avoided servers come last.
+func (c *Caller) serversToAsk() []string {
 	var servers []string
-	for _, a := range c.book.last().Addresses {
+	for _, a := range c.addresses.last().Addresses {
 		servers = append(servers, a.Address)
 	}
 	rand.Shuffle(len(servers), func(i, j int) { servers[i], servers[j] = servers[j], servers[i] })
@@ -176,7 +181,7 @@
 	}
 	now := time.Now()
 	slices.SortStableFunc(servers, func(a, b string) int {
-		return rank(c.book.isAvoided(a, now)) - rank(c.book.isAvoided(b, now))
+		return rank(c.addresses.isAvoided(a, now)) - rank(c.addresses.isAvoided(b, now))
 	})
 	return servers
 }
@@ -188,7 +193,7 @@
 	return 0
 }
 
-func (c *Caller) askAddress(ctx context.Context, server string) (lynxapi.AddressAnswer, error) {
+func (c *Caller) fetchAddressFrom(ctx context.Context, server string) (lynxapi.AddressAnswer, error) {
 	ctx, cancel := context.WithTimeout(ctx, addressTimeout)
 	defer cancel()
 	query := url.Values{}
@@ -201,24 +206,26 @@
 	var answer lynxapi.AddressAnswer
 	err := c.get(ctx, server, call{method: http.MethodGet, path: lynxapi.PathAddress, query: query}, &answer)
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		c.book.avoid(server, time.Now()) // it went silent
+		c.addresses.avoid(server, time.Now()) // it did not answer in time
 	}
 	return answer, err
 }
 
-// Penalties of pick, so that each outweighs all before it: spares by distance,
-// then lately unreachable ones, then those that this request has tried.
+// Penalties of pick. Each one outweighs the sum of those before it: spares by
+// distance, then avoided instances, then instances that this request has already
+// tried.
 const (
-	distances      = 3
+	distanceLevels = 3
 	sparePenalty   = 1
-	avoidedPenalty = sparePenalty + distances
+	avoidedPenalty = sparePenalty + distanceLevels
 	triedPenalty   = 2 * avoidedPenalty
 )
 
-// pick chooses an instance by weight. The weights already prefer the caller's
-// place as far as it has room; preferring it again here would send a full
-// place the load that was to go elsewhere. Instances of weight 0 are spares,
-// for when the others fail: nearest first.
+// pick selects an instance at random by weight. The weights already prefer the
+// caller's availability zone as far as it has capacity. Preferring the zone here
+// as well would send a full zone the load that the weights direct elsewhere.
+// Instances of weight 0 are spares for when the others fail; the nearest spare
+// is selected first.
 func (c *Caller) pick(answer lynxapi.AddressAnswer, tried []string) (lynxapi.Address, bool) {
 	now := time.Now()
 	best := -1
@@ -243,7 +250,7 @@
 	if a.Weight <= 0 {
 		penalty += sparePenalty + c.distance(a)
 	}
-	if c.book.isAvoided(a.Address, now) {
+	if c.addresses.isAvoided(a.Address, now) {
 		penalty += avoidedPenalty
 	}
 	if slices.Contains(tried, a.Address) {
@@ -259,23 +266,23 @@
 	case c.opts.Region != "" && a.Region == c.opts.Region:
 		return 1
 	}
-	return distances - 1
+	return distanceLevels - 1
 }
 
-// weighted picks by weight with a number from 0 to 1. Without a weight above 0
-// all are equal.
-func weighted(group []lynxapi.Address, at float64) lynxapi.Address {
+// weighted selects an address by weight; fraction is a random number in [0, 1).
+// If no weight is above 0, all addresses are equally likely.
+func weighted(group []lynxapi.Address, fraction float64) lynxapi.Address {
 	total := 0.0
 	for _, a := range group {
 		total += max(a.Weight, 0)
 	}
 	if total == 0 {
-		return group[min(int(at*float64(len(group))), len(group)-1)]
+		return group[min(int(fraction*float64(len(group))), len(group)-1)]
 	}
-	at *= total
+	fraction *= total
 	for _, a := range group {
-		at -= max(a.Weight, 0)
-		if at < 0 {
+		fraction -= max(a.Weight, 0)
+		if fraction < 0 {
 			return a
 		}
 	}
--- a/internal/client/admin.go
+++ b/internal/client/admin.go
@@ -18,13 +18,13 @@
 type AdminOptions struct {
 	Servers     []string // admin addresses, host:port or URLs, in the order to try
 	Token       string
-	TLS         *tls.Config // nil = plain HTTP, unless the server's URL says https
+	TLS         *tls.Config // nil = plain HTTP, unless the server's URL has the scheme https
 	DialTimeout time.Duration
 }
 
-// Admin calls the admin API. A call that a server certainly did not receive
-// goes to the next one; any other error is returned, since a change may have
-// been made.
+// Admin is a client of the admin API. A call that certainly did not reach a
+// server is sent to the next one. Any other error is returned, because the
+// change may have been made.
 type Admin struct {
 	servers []adminServer
 	token   string
@@ -46,7 +46,7 @@
 	return a
 }
 
-// do calls the servers in turn until one has received the call.
+// do sends the call to the servers in order until one has received it.
 func (a *Admin) do(ctx context.Context, c call, reply any) error {
 	err := ErrNoServers
 	for _, server := range a.servers {
@@ -74,7 +74,7 @@
 	return message, err
 }
 
-// pathOf fills the one variable of a path.
+// pathOf substitutes the only variable of a path.
 func pathOf(path, variable, value string) string {
 	return strings.Replace(path, variable, url.PathEscape(value), 1)
 }
@@ -89,14 +89,15 @@
 	return get[lynxapi.ProfileView](ctx, a, pathOf(lynxapi.PathProfile, ":name", name), nil)
 }
 
-// SetProfile declares a profile. An error of kind ChangeUnknown, or a
-// *TransportError with Sent, leaves open whether it was written: ask Change.
+// SetProfile creates or changes a profile. After an error of kind ChangeUnknown,
+// or a *TransportError with Sent, it is unknown whether the profile was written;
+// Change returns the state of the change.
 func (a *Admin) SetProfile(ctx context.Context, req lynxapi.ChangeRequest) (lynxapi.ChangeReply, error) {
 	path := pathOf(lynxapi.PathProfile, ":name", req.Profile.Name)
 	return put[lynxapi.ChangeReply](ctx, a, http.MethodPut, path, req)
 }
 
-// DeleteProfile takes a profile out of force.
+// DeleteProfile deletes a profile, so that it is no longer in force.
 func (a *Admin) DeleteProfile(ctx context.Context, name string, ifVersion uint64, changeID string) (lynxapi.ChangeReply, error) {
 	var reply lynxapi.ChangeReply
 	query := url.Values{"if_version": {strconv.FormatUint(ifVersion, 10)}, "change_id": {changeID}}
@@ -105,22 +106,23 @@
 	return reply, err
 }
 
-// Rollback puts an earlier version's content in force as a new version.
+// Rollback restores the content of an earlier version of a profile as a new
+// version.
 func (a *Admin) Rollback(ctx context.Context, name string, req lynxapi.RollbackRequest) (lynxapi.ChangeReply, error) {
 	return put[lynxapi.ChangeReply](ctx, a, http.MethodPost, pathOf(lynxapi.PathProfileRollback, ":name", name), req)
 }
 
-// Force tells where a profile's newest version is in force.
+// Force returns on which instances the newest version of a profile is in force.
 func (a *Admin) Force(ctx context.Context, name string) (lynxapi.ForceReply, error) {
 	return get[lynxapi.ForceReply](ctx, a, pathOf(lynxapi.PathProfileForce, ":name", name), nil)
 }
 
-// Change tells what became of a change.
+// Change returns the state of a change.
 func (a *Admin) Change(ctx context.Context, id string) (lynxapi.ChangeReply, error) {
 	return get[lynxapi.ChangeReply](ctx, a, pathOf(lynxapi.PathChange, ":id", id), nil)
 }
 
-// Instances lists lynxhill's instances.
+// Instances lists the instances.
 func (a *Admin) Instances(ctx context.Context) (lynxapi.InstanceList, error) {
 	return get[lynxapi.InstanceList](ctx, a, lynxapi.PathInstances, nil)
 }
@@ -130,7 +132,7 @@
 	return get[lynxapi.TargetList](ctx, a, lynxapi.PathTargets, nil)
 }
 
-// Status sums up the answering instance.
+// Status returns a summary of the instance that answers.
 func (a *Admin) Status(ctx context.Context) (lynxapi.Status, error) {
 	return get[lynxapi.Status](ctx, a, lynxapi.PathStatus, nil)
 }
@@ -140,12 +142,13 @@
 	return get[lynxapi.DrainList](ctx, a, lynxapi.PathDrains, nil)
 }
 
-// Drain orders that a subject take no new work.
+// Drain orders that a subject receive no new work.
 func (a *Admin) Drain(ctx context.Context, subject string) (lynxapi.DrainView, error) {
 	return put[lynxapi.DrainView](ctx, a, http.MethodPost, lynxapi.PathDrains, lynxapi.DrainRequest{Subject: subject})
 }
 
-// ForceDrain is Drain for a subject that no instance need know yet.
+// ForceDrain is like Drain, but does not require that an instance knows the
+// subject already.
 func (a *Admin) ForceDrain(ctx context.Context, subject string) (lynxapi.DrainView, error) {
 	return put[lynxapi.DrainView](ctx, a, http.MethodPost, lynxapi.PathDrains, lynxapi.DrainRequest{Subject: subject, Force: true})
 }
@@ -166,21 +169,22 @@
 	return put[lynxapi.OrganisationLimit](ctx, a, http.MethodPut, lynxapi.PathLimits, limit)
 }
 
-// Plans lists what the engines of each service should hold.
+// Plans lists which models the engines of each service should hold.
 func (a *Admin) Plans(ctx context.Context) (lynxapi.PlacementList, error) {
 	return get[lynxapi.PlacementList](ctx, a, lynxapi.PathPlacements, nil)
 }
 
-// SetPlan says what the engines of a service should hold.
+// SetPlan sets which models the engines of a service should hold.
 func (a *Admin) SetPlan(ctx context.Context, plan lynxapi.ModelPlan) (lynxapi.ModelPlan, error) {
 	return put[lynxapi.ModelPlan](ctx, a, http.MethodPut, lynxapi.PathPlacements, plan)
 }
 
 // Burn returns the service-level report of all instances over the longest
-// window that is kept.
+// window that they keep.
 func (a *Admin) Burn(ctx context.Context) (lynxapi.BurnReport, error) { return a.BurnOver(ctx, 0) }
 
-// BurnOver is Burn over the window that ends now; 0 is the longest.
+// BurnOver is like Burn, over the given window ending now; 0 selects the
+// longest window.
 func (a *Admin) BurnOver(ctx context.Context, window time.Duration) (lynxapi.BurnReport, error) {
 	var query url.Values
 	if window > 0 {
@@ -189,7 +193,8 @@
 	return get[lynxapi.BurnReport](ctx, a, lynxapi.PathBurn, query)
 }
 
-// NewestVersion returns the version of a profile, 0 if there is none.
+// NewestVersion returns the newest version of a profile and its content. The
+// version is 0 if the profile does not exist.
 func (a *Admin) NewestVersion(ctx context.Context, name string) (uint64, profile.Profile, error) {
 	view, err := a.Profile(ctx, name)
 	if isNotFound(err) {
--- a/internal/client/caller.go
+++ b/internal/client/caller.go
@@ -16,7 +16,7 @@
 	"lynxhill.example/lynxhill/internal/wire/lynxapi"
 )
 
-// Defaults of CallerOptions.
+// Default values of CallerOptions.
 const (
 	DefaultMaxAttempts = 8
 	DefaultSilence     = 5 * time.Second // five heartbeats
@@ -26,33 +26,35 @@
 
 // CallerOptions configures a Caller.
 type CallerOptions struct {
-	Servers []string // caller addresses to ask first, host:port or URLs
+	Servers []string // caller addresses for discovery, host:port or URLs
 	Token   string
 	TLS     *tls.Config // nil = plain HTTP
-	Place   string      // of the caller; its own place is used first
+	Place   string      // availability zone of the caller; instances in it are preferred
 	Region  string
-	// MaxAttempts bounds how often one request is sent; 1 = never again.
+	// MaxAttempts is the maximum number of attempts per request; 1 = no retry.
+	// If the deadline is known, attempts that reached no instance do not count.
 	MaxAttempts int
 	// Silence is how long a stream may send nothing, not even a heartbeat,
-	// before its connection is given up.
+	// before its connection is abandoned.
 	Silence     time.Duration
 	MinBackoff  time.Duration
 	MaxBackoff  time.Duration
 	DialTimeout time.Duration
-	// Tickets says when keys are made under the ticket of the address answer.
+	// Tickets states when keys are created under the ticket of the address answer.
 	Tickets TicketUse
 }
 
-// TicketUse says when a caller makes keys under tickets. Such a key needs no
-// record in the platform, so that it works through the store's outages; but
-// only the instance of the ticket can run it, and when that dies, nobody can
-// tell any more whether it has.
+// TicketUse states when a Caller creates idempotency keys under a ticket. Such a
+// key needs no record in the platform's store, so it works during an outage of
+// the store. However, only the instance that issued the ticket can run the
+// request, and if that instance dies it can no longer be determined whether the
+// request has run.
 type TicketUse int
 
-// Uses of tickets.
+// Values of TicketUse.
 const (
-	// TicketsWhenAdvised uses them while the instances say that the store is
-	// down, when the alternative is not to run at all.
+	// TicketsWhenAdvised uses tickets while the instances report that the
+	// store is down, when requests could not run at all without them.
 	TicketsWhenAdvised TicketUse = iota
 	TicketsNever
 	TicketsAlways
@@ -66,56 +68,56 @@
 	return o
 }
 
-// Caller calls the caller API. Its methods may be called at once from several
-// goroutines.
+// Caller is a client of the caller API. Its methods are safe for concurrent use.
 type Caller struct {
-	opts CallerOptions
-	http *http.Client
-	book *addressBook
+	opts      CallerOptions
+	http      *http.Client
+	addresses *addressCache
 }
 
 // NewCaller returns a client of the caller API.
 func NewCaller(opts CallerOptions) *Caller {
 	opts = opts.withDefaults()
-	return &Caller{opts: opts, http: newHTTPClient(opts.TLS, opts.DialTimeout), book: newAddressBook()}
+	return &Caller{opts: opts, http: newHTTPClient(opts.TLS, opts.DialTimeout), addresses: newAddressCache()}
 }
 
-// NewKey returns an idempotency key that carries its time (a version 7 UUID),
-// so that a resend past the key's retention is refused instead of run.
+// NewKey returns an idempotency key that contains its time of creation (a
+// version 7 UUID), so that a retry after the key's retention period is refused
+// instead of run again.
 func NewKey() string { return uuid.Must(uuid.NewV7()).String() }
 
 func (c *Caller) base(server string) string { return baseURL(server, c.opts.TLS != nil) }
 
-// get sends a call that changes nothing and reads its answer. Requests go
-// through net/http itself and not through httpc, whose breaker would refuse
-// some by its own judgement, outside lynxhill's table of errors.
+// get sends a read-only call and decodes its answer. Calls use net/http directly
+// rather than httpc, because the circuit breaker of httpc would reject some
+// calls by its own rules, with errors outside lynxhill's table of errors.
 func (c *Caller) get(ctx context.Context, server string, what call, reply any) error {
 	resp, err := send(ctx, c.http.Do, c.base(server), c.opts.Token, what)
 	if err != nil {
-		c.noteUnreachable(server, err)
+		c.avoidIfUnavailable(server, err)
 		return err
 	}
 	return readReply(c.base(server), resp, reply)
 }
 
-// noteUnreachable has a server tried last for a while that took no call, went
-// silent or takes no work. One whose answer broke off is not blamed: it may
-// have been the connection.
-func (c *Caller) noteUnreachable(server string, err error) {
+// avoidIfUnavailable avoids a server for a while if err says that it could not
+// be reached, was silent for too long or is isolated. A server whose answer was
+// cut off is not avoided, because the connection may have been the cause.
+func (c *Caller) avoidIfUnavailable(server string, err error) {
 	if IsUnreachable(err) || errors.Is(err, ErrSilent) || errkind.Is(err, errkind.Isolated) {
-		c.book.avoid(server, time.Now())
+		c.addresses.avoid(server, time.Now())
 	}
 }
 
-// Outcome asks any instance what became of a key.
+// Outcome asks an instance for the outcome of the request with a key.
 func (c *Caller) Outcome(ctx context.Context, organisation, key string) (lynxapi.OutcomeReply, error) {
 	return c.outcome(ctx, organisation, key, nil)
 }
 
-// outcomeTimeout bounds one question for an outcome. It is asked when a stream
-// has broken off, and the instance asked may be the next silent one: without a
-// bound it would cost the rest of the deadline, in which a resend would be
-// answered.
+// outcomeTimeout is the timeout of one outcome request. Outcomes are requested
+// after a stream has broken off, and the instance asked may be unresponsive too.
+// Without this timeout it would use up the rest of the deadline, in which a
+// retry could still be answered.
 const outcomeTimeout = 500 * time.Millisecond
 
 func (c *Caller) outcome(ctx context.Context, organisation, key string, tried []string) (lynxapi.OutcomeReply, error) {
@@ -137,7 +139,7 @@
 	defer cancel()
 	err = c.get(limited, address.Address, what, &reply)
 	if err != nil && limited.Err() != nil && ctx.Err() == nil {
-		c.book.avoid(address.Address, time.Now()) // it went silent
+		c.addresses.avoid(address.Address, time.Now()) // it did not answer in time
 	}
 	if err == nil && reply.Key != key {
 		return lynxapi.OutcomeReply{}, errkind.New(errkind.Internal, "the outcome is that of another key")
@@ -145,8 +147,8 @@
 	return reply, err
 }
 
-// MintKey makes a new idempotency key, under the ticket of the kept address
-// answer if tickets are to be used now.
+// MintKey returns a new idempotency key. The key is created under the ticket of
+// the address answer if the Tickets option says that tickets are to be used now.
 func (c *Caller) MintKey(ctx context.Context) string {
 	key := NewKey()
 	if c.opts.Tickets == TicketsNever {
@@ -162,20 +164,20 @@
 	return claim.MintKey(answer.Ticket, key)
 }
 
-// rekey replaces a key of our own making after an instance has refused the
-// request for want of the store. That is safe only while no attempt may have
-// run: the new key would be a second request.
-func (s *sending) rekey(ctx context.Context, err error, worst errkind.RunState) {
-	if !s.ownKey || worst != errkind.NotRun || !errkind.Is(err, errkind.StoreUnavailable) {
+// replaceKey replaces a key that the client generated after an instance has
+// refused the request because the store is unavailable. This is safe only if no
+// attempt can have run, since a request with a new key is a second request.
+func (s *sending) replaceKey(ctx context.Context, err error, worst errkind.RunState) {
+	if !s.generatedKey || worst != errkind.NotRun || !errkind.Is(err, errkind.StoreUnavailable) {
 		return
 	}
-	s.caller.book.expire()
+	s.caller.addresses.expire()
 	s.req.Key = s.caller.MintKey(ctx)
 	s.keys = append(s.keys, s.req.Key)
 }
 
-// worthAskingElsewhere reports whether another instance might answer better.
-func worthAskingElsewhere(err error) bool {
+// mayRetryElsewhere reports whether another instance might answer successfully.
+func mayRetryElsewhere(err error) bool {
 	var transport *TransportError
 	if errors.As(err, &transport) || errors.Is(err, ErrNoServers) {
 		return true
--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -1,10 +1,11 @@
-// Package client speaks lynxhill's caller API and admin API, for lynxctl,
-// lynxbench and Go services.
+// Package client is a client for lynxhill's caller API and admin API. It is used
+// by lynxctl, lynxbench and Go services.
 //
-// A Caller asks which instances to use, keeps the answer for as long as it
-// says, sends requests there, checks that what comes back is the whole answer
-// to its own request, and sends again under the same idempotency key where the
-// error's run state and advice allow it. An Admin drives the admin API.
+// A Caller discovers which instances to use and caches the answer for as long as
+// the answer states. It sends requests to them, verifies that each answer is
+// complete and belongs to the request, and retries under the same idempotency
+// key where the error's run state and resend advice allow it. An Admin is a
+// client of the admin API.
 package client
 
 import (
@@ -30,7 +31,7 @@
 	"lynxhill.example/lynxhill/internal/errkind"
 )
 
-// Bounds of the transport.
+// Limits of the HTTP transport and of responses.
 const (
 	defaultDialTimeout = 2 * time.Second
 	idleTimeout        = 30 * time.Second
@@ -39,14 +40,15 @@
 	maxReplyBytes      = 64 << 20 // a burn report of a large fleet is the largest
 )
 
-// ErrNoServers is returned when no address is known to send to.
+// ErrNoServers is returned when no server address is known.
 var ErrNoServers = errors.New("client: no server to ask")
 
-// TransportError is a call that ended without an answer of an instance.
+// TransportError is the error of a call that ended without a valid answer of an
+// instance.
 type TransportError struct {
 	Server string
-	// Sent says that a part of the call may have reached the server. If it is
-	// false the call was certainly not received.
+	// Sent reports whether part of the call may have reached the server. If
+	// it is false, the server certainly did not receive the call.
 	Sent bool
 	Err  error
 }
@@ -57,10 +59,10 @@
 // Unwrap returns the cause.
 func (e *TransportError) Unwrap() error { return e.Err }
 
-// RunStateOf says what an error of this package tells about the request; err
-// must not be nil.
+// RunStateOf returns whether the request may have run, according to an error of
+// this package; err must not be nil.
 func RunStateOf(err error) errkind.RunState {
-	if transport, ok := bare(err); ok && transport.Sent {
+	if transport, ok := outermostTransportError(err); ok && transport.Sent {
 		return errkind.MayHaveRun
 	}
 	if IsUnreachable(err) {
@@ -69,22 +71,23 @@
 	return errkind.Of(err).RunState()
 }
 
-// IsUnreachable reports whether the request was never received by a server, in
-// none of its attempts.
+// IsUnreachable reports whether no attempt of the request was received by a
+// server.
 func IsUnreachable(err error) bool {
-	if transport, ok := bare(err); ok {
+	if transport, ok := outermostTransportError(err); ok {
 		return !transport.Sent
 	}
 	return errors.Is(err, ErrNoServers) && errkind.Of(err) == errkind.Internal
 }
 
-// bare returns the broken call that err reports, unless a kind was put around
-// it: that speaks for all attempts, the call for the last one.
+// outermostTransportError returns the *TransportError in err, unless err wraps
+// it in an error with a different kind. The kind describes all attempts, the
+// TransportError only the last one.
 //
-// What goes wrong without it: an attempt may have run, the last one reached
-// nobody, and the caller is told not_run. It sends its booking under a new key,
-// and one finds it booked twice.
-func bare(err error) (*TransportError, bool) {
+// Without this check, a request of which an attempt may have run and whose last
+// attempt reached no server would be reported as not_run. The application would
+// send it again under a new key, and it would run twice.
+func outermostTransportError(err error) (*TransportError, bool) {
 	var transport *TransportError
 	if !errors.As(err, &transport) || errkind.Of(err) != errkind.Of(transport) {
 		return nil, false
@@ -92,10 +95,9 @@
 	return transport, true
 }
 
-// newHTTPClient returns a client that speaks HTTP/1.1 only: cancelling a call
-// then closes its connection, so that the next attempt is on a new one. With
-// HTTP/2 a connection that went silent would be shared by all calls until its
-// ping failed.
+// newHTTPClient returns a client that uses HTTP/1.1 only. Cancelling a call then
+// closes its connection, so the next attempt uses another one. With HTTP/2, all
+// calls would share an unresponsive connection until its ping failed.
 func newHTTPClient(config *tls.Config, dialTimeout time.Duration) *http.Client {
 	defaults.Positive(&dialTimeout, defaultDialTimeout)
 	dialer := &net.Dialer{Timeout: dialTimeout}
@@ -111,7 +113,7 @@
 	}
 }
 
-// baseURL turns "host:port" or a URL into the start of a URL.
+// baseURL converts "host:port" or a URL to the base URL of a server.
 func baseURL(server string, secure bool) string {
 	if strings.Contains(server, "://") {
 		return strings.TrimRight(server, "/")
@@ -122,10 +124,11 @@
 	return "http://" + server
 }
 
-// doer sends one HTTP request; *http.Client and httpc.Service fit.
+// doer sends one HTTP request. The methods (*http.Client).Do and
+// httpc.Service.DoRequest are doers.
 type doer func(*http.Request) (*http.Response, error)
 
-// call is one HTTP call.
+// call describes one HTTP call.
 type call struct {
 	method string
 	path   string
@@ -133,9 +136,9 @@
 	body   any // nil for none
 }
 
-// send sends the call. An answer that is not 2xx becomes an error of the kind
-// in its body; no answer becomes a *TransportError. The caller closes the
-// response's body.
+// send sends a call. A status other than 2xx becomes an error of the kind in the
+// response body; a missing response becomes a *TransportError. The caller must
+// close the body of the returned response.
 func send(ctx context.Context, do doer, base, token string, c call) (*http.Response, error) {
 	req, err := newRequest(ctx, base, token, c)
 	if err != nil {
@@ -181,7 +184,8 @@
 	return req, nil
 }
 
-// withoutURL drops the URL from an error: it names the idempotency key.
+// withoutURL removes the URL from an error, because the URL contains the
+// idempotency key.
 func withoutURL(err error) error {
 	var wrapped *url.Error
 	if errors.As(err, &wrapped) {
@@ -190,7 +194,7 @@
 	return err
 }
 
-// errorOf reads the error of an answer that is not 2xx.
+// errorOf returns the error in the body of a response whose status is not 2xx.
 func errorOf(base string, resp *http.Response) error {
 	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxErrorBytes))
 	if err != nil {
@@ -203,7 +207,7 @@
 	return body.Err()
 }
 
-// readReply reads a JSON answer whole.
+// readReply reads a complete JSON response into reply.
 func readReply(base string, resp *http.Response, reply any) error {
 	defer resp.Body.Close()
 	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxReplyBytes))
@@ -216,9 +220,9 @@
 	return nil
 }
 
-// serviceOf returns go-zero's client for one server. Each server has a name of
-// its own, because the breaker inside counts by name: a broken server must not
-// close the way to the others.
+// serviceOf returns go-zero's client for one server. Each server has its own
+// service name because the circuit breaker in the client counts by name: a
+// failing server must not block calls to the others.
 func serviceOf(httpClient *http.Client, base string) doer {
 	return httpc.NewServiceWithClient("lynxhill "+base, httpClient).DoRequest
 }
--- a/internal/client/client_test.go
+++ b/internal/client/client_test.go
@@ -27,17 +27,18 @@
 	}
 }
 
-// Symptom: a caller took half an answer for a whole one. Events: each case
-// ends or goes on in a way that no whole answer has. Cause: the end of the
-// connection counted as the end of the answer, or offsets were not checked.
+// Guards against a caller that takes a truncated answer for a complete one. This
+// happens if the end of the connection counts as the end of the answer, or if
+// offsets are not checked. Each case ends or continues in a way that no complete
+// answer does.
 func TestStreamThatIsNotWholeIsAnError(t *testing.T) {
 	cases := []struct {
 		name string
 		run  script
 	}{
-		{"no end mark", func(w *eventWriter, _ lynxapi.SendRequest) { w.begin(); w.frames(0, "hello ") }},
+		{"no end event", func(w *eventWriter, _ lynxapi.SendRequest) { w.begin(); w.frames(0, "hello ") }},
 		{"cut", func(w *eventWriter, _ lynxapi.SendRequest) { w.begin(); w.frames(0, "hello "); w.cut() }},
-		{"end mark without its blank line", func(w *eventWriter, _ lynxapi.SendRequest) {
+		{"end event without its blank line", func(w *eventWriter, _ lynxapi.SendRequest) {
 			w.begin()
 			fmt.Fprintf(w.w, "event: end\ndata: {\"key\":%q,\"streamed\":true,\"length\":0}\n", w.key)
 		}},
@@ -77,7 +78,7 @@
 			}
 			_, _, err := sendStream(t, caller, 1)
 			if err == nil {
-				t.Fatal("taken for whole")
+				t.Fatal("accepted as complete")
 			}
 			if silent := strings.HasPrefix(c.name, "silent"); silent != errors.Is(err, ErrSilent) {
 				t.Fatalf("silent %t: %v", silent, err)
@@ -89,8 +90,8 @@
 	}
 }
 
-// TestSilenceWatch runs in virtual time over a pipe: heartbeats keep a slow
-// stream open for as long as they come, and their end ends it.
+// TestSilenceWatch checks, in virtual time over a pipe, that heartbeats keep a
+// slow stream open and that the stream is abandoned once they stop.
 func TestSilenceWatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := NewCaller(CallerOptions{Silence: 5 * time.Second})
@@ -109,12 +110,12 @@
 			t.Fatalf("%q %v", s.delivered.String(), err)
 		}
 		if took := time.Since(start); took != 65*time.Second {
-			t.Fatalf("given up after %v", took)
+			t.Fatalf("abandoned after %v", took)
 		}
 	})
 }
 
-func TestBrokenStreamGoesOnWhereItStopped(t *testing.T) {
+func TestBrokenStreamResumesWhereItStopped(t *testing.T) {
 	broken := func(w *eventWriter, _ lynxapi.SendRequest) { w.begin(); w.frames(0, "hello "); w.cut() }
 	i := newInstance(t, broken, whole)
 	delivered, result, err := sendStream(t, newTestCaller(i.addr()), 3)
@@ -123,9 +124,9 @@
 	}
 }
 
-// Symptom: a caller held an answer whose halves came from two different runs.
-// Events: the stream broke after some bytes; the second run's text differed.
-// Cause: the rest of the second was put behind the first.
+// Guards against an answer whose two halves come from different runs. The stream
+// broke after some bytes, the text of the second run differed, and its remainder
+// was appended to the text of the first run.
 func TestBrokenStreamIsNotContinuedWithAnotherAnswer(t *testing.T) {
 	broken := func(w *eventWriter, _ lynxapi.SendRequest) { w.begin(); w.frames(0, "hello "); w.cut() }
 	other := func(w *eventWriter, _ lynxapi.SendRequest) { w.begin(); w.frames(0, "good ", "bye all"); w.end(12) }
@@ -164,9 +165,9 @@
 		{"elsewhere", errkind.Stopping, lynxapi.OutcomeReply{State: lynxapi.OutcomeNoRecord}, 2, false},
 		{"ask, no record", errkind.TargetFailed, lynxapi.OutcomeReply{State: lynxapi.OutcomeNoRecord}, 2, false},
 		{"ask, done", errkind.TargetFailed, lynxapi.OutcomeReply{State: lynxapi.OutcomeDone, Output: json.RawMessage(`"hello world"`)}, 1, false},
-		{"ask, failed for good", errkind.DeadlineAfterRun, lynxapi.OutcomeReply{State: lynxapi.OutcomeFailed, ErrorKind: "outcome_unknown"}, 1, true},
-		{"ask, failed and may come again", errkind.DeadlineAfterRun, lynxapi.OutcomeReply{State: lynxapi.OutcomeFailed, ErrorKind: "no_target"}, 2, false},
-		{"ask, answer no longer kept", errkind.TargetFailed, lynxapi.OutcomeReply{State: lynxapi.OutcomeDone}, 1, true},
+		{"ask, failed permanently", errkind.DeadlineAfterRun, lynxapi.OutcomeReply{State: lynxapi.OutcomeFailed, ErrorKind: "outcome_unknown"}, 1, true},
+		{"ask, failed and may be retried", errkind.DeadlineAfterRun, lynxapi.OutcomeReply{State: lynxapi.OutcomeFailed, ErrorKind: "no_target"}, 2, false},
+		{"ask, answer no longer stored", errkind.TargetFailed, lynxapi.OutcomeReply{State: lynxapi.OutcomeDone}, 1, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -183,10 +184,10 @@
 	}
 }
 
-// Symptom: a caller was told that its booking was not run, and sent it under a
-// new key; it was booked twice. Events: the first attempt broke off after it
-// was sent, the second was refused before anything ran. Cause: the last error
-// spoke for the whole request.
+// Guards against reporting a booking as not run, so that the application sends it
+// under a new key and it is booked twice. The first attempt broke off after it
+// was sent, the second was refused before anything ran, and the last error
+// determined the run state of the whole request.
 func TestNotRunIsNotSaidAfterAnAttemptThatMayHaveRun(t *testing.T) {
 	cut := func(w *eventWriter, _ lynxapi.SendRequest) { w.cut() }
 	i := newInstance(t, cut, refuse(errkind.Overloaded))
@@ -196,9 +197,9 @@
 	}
 }
 
-// Symptom: a booking was sent under a new key and booked twice. Events: the
-// first attempt may have run, the last one reached no instance. Cause: the
-// refused connection inside the error was looked at before the kind around it.
+// Guards against a booking that is sent under a new key and booked twice. The
+// first attempt may have run and the last one reached no instance; the refused
+// connection inside the error was examined before the kind that wraps it.
 func TestTheOutermostErrorTellsWhetherTheRequestMayHaveRun(t *testing.T) {
 	var one *sending
 	unsent := &TransportError{Err: context.DeadlineExceeded}
@@ -206,9 +207,9 @@
 		err   error
 		state errkind.RunState
 	}{
-		{one.final(unsent, errkind.MayHaveRun), errkind.MayHaveRun},
-		{one.final(ErrNoServers, errkind.MayHaveRun), errkind.MayHaveRun},
-		{one.final(unsent, errkind.NotRun), errkind.NotRun},
+		{one.finalError(unsent, errkind.MayHaveRun), errkind.MayHaveRun},
+		{one.finalError(ErrNoServers, errkind.MayHaveRun), errkind.MayHaveRun},
+		{one.finalError(unsent, errkind.NotRun), errkind.NotRun},
 		{fmt.Errorf("send: %w", unsent), errkind.NotRun},
 		{ErrNoServers, errkind.NotRun},
 	} {
@@ -218,9 +219,9 @@
 	}
 }
 
-// Symptom: a request whose deadline had passed midway was reported as one that
-// could not be started. Events: the first attempt ran into its deadline; it was
-// sent again with no time left and refused. Cause: the last error was shown.
+// Guards against reporting a request whose deadline passed while it ran as one
+// that could not be started. The first attempt ran into its deadline, the request
+// was sent again with no time left and refused, and the last error was reported.
 func TestNothingIsSentAfterTheDeadline(t *testing.T) {
 	i := newInstance(t, func(w *eventWriter, _ lynxapi.SendRequest) {
 		time.Sleep(20 * time.Millisecond)
@@ -234,15 +235,15 @@
 	}
 }
 
-func TestUnreachableInstanceIsPassedOver(t *testing.T) {
+func TestUnreachableInstanceIsSkipped(t *testing.T) {
 	dead := closedAddress(t)
 	i := newInstance(t, whole, whole)
-	i.others, i.weight = []string{dead}, 1e12 // all would go to the dead one
+	i.others, i.weight = []string{dead}, 1e12 // by weight, every request would go to the unreachable one
 	c := newTestCaller(dead, i.addr())
 	if _, _, err := sendStream(t, c, 3); err != nil {
 		t.Fatal(err)
 	}
-	if _, _, err := sendStream(t, c, 1); err != nil { // goes to the living one at once
+	if _, _, err := sendStream(t, c, 1); err != nil { // goes to the reachable instance at once
 		t.Fatal(err)
 	}
 	if asked, sent := i.counts(); asked == 0 || sent != 2 {
@@ -250,15 +251,15 @@
 	}
 }
 
-// Symptom: a request failed although a second instance would have taken it.
-// Events: the heavier instance was stopping and sent the request elsewhere,
-// eight times over. Cause: the next attempt was drawn by weight again.
+// Guards against a request that fails although another instance would accept it.
+// The instance with the greater weight was stopping and refused all eight
+// attempts, because each attempt was again selected by weight alone.
 func TestNextAttemptGoesToAnotherInstance(t *testing.T) {
 	other := newInstance(t, whole)
 	stopping := refuse(errkind.Stopping)
 	heavy := newInstance(t, stopping, stopping, stopping)
 	c := newTestCaller(heavy.addr())
-	c.book.keep(lynxapi.AddressAnswer{KeepMS: 60000, Addresses: []lynxapi.Address{
+	c.addresses.store(lynxapi.AddressAnswer{KeepMS: 60000, Addresses: []lynxapi.Address{
 		{Address: heavy.addr(), Place: "near", Weight: 1e9}, {Address: other.addr(), Place: "near", Weight: 1e-9},
 	}}, time.Now())
 	heavy.others = []string{other.addr()}
@@ -280,7 +281,7 @@
 	c := newTestCaller(i.addr())
 	c.opts.Tickets = TicketsAlways
 	address := lynxapi.Address{Address: i.addr(), Weight: 1}
-	c.book.keep(lynxapi.AddressAnswer{KeepMS: 60000, Addresses: []lynxapi.Address{address}, Ticket: "lxt1.a.b"}, time.Now())
+	c.addresses.store(lynxapi.AddressAnswer{KeepMS: 60000, Addresses: []lynxapi.Address{address}, Ticket: "lxt1.a.b"}, time.Now())
 	_, result, err := sendStream(t, c, 3)
 	if err != nil || i.attempts() != 2 {
 		t.Fatalf("%v after %d attempts", err, i.attempts())
@@ -290,10 +291,10 @@
 	}
 }
 
-// Symptom: a booking ran twice in a store outage. Events: the first attempt
-// broke off after it was sent, the second was refused for want of the store, the
-// third went out under a new key with a ticket. Cause: the key was replaced
-// although the first attempt might have run.
+// Guards against a booking that runs twice during a store outage. The first
+// attempt broke off after it was sent, the second was refused because the store
+// was unavailable, and the third was sent under a new key with a ticket although
+// the first might have run.
 func TestKeyIsReplacedOnlyWhileNothingCanHaveRun(t *testing.T) {
 	cut := func(w *eventWriter, _ lynxapi.SendRequest) { w.cut() }
 	refused := refuse(errkind.StoreUnavailable)
@@ -311,7 +312,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			i := newInstance(t, c.scripts...)
 			caller := newTestCaller(i.addr())
-			_, _ = caller.Address(t.Context()) // kept from before the outage: no ticket advised
+			_, _ = caller.Address(t.Context()) // cached from before the outage: no ticket advised
 			i.advise("lxt1.a.b")
 			req := lynxapi.SendRequest{Key: c.given, Input: json.RawMessage(`{}`), Stream: true, DeadlineMS: 10_000}
 			result, err := caller.Send(t.Context(), "booking", req, nil)
@@ -338,9 +339,10 @@
 	}
 }
 
-// Symptom: a full place got all requests of its callers. Events: the address
-// answer gave a quarter of the weight to a far place, since the near one had
-// little room. Cause: the client took the near place whatever the weights said.
+// Guards against sending all requests of a zone's callers to that zone although it
+// is full. The address answer gave a quarter of the weight to a distant zone
+// because the near one had little capacity, but the client selected the near zone
+// regardless of the weights.
 func TestPickFollowsTheWeights(t *testing.T) {
 	c := NewCaller(CallerOptions{Place: "near", Region: "r"})
 	answer := lynxapi.AddressAnswer{Addresses: []lynxapi.Address{
@@ -360,7 +362,7 @@
 		}
 	}
 	if len(counts) != 3 {
-		t.Errorf("spares were taken: %v", counts)
+		t.Errorf("spares were selected: %v", counts)
 	}
 }
 
@@ -403,7 +405,7 @@
 	}
 }
 
-func TestAdminGoesOnOnlyWhileNothingWasReceived(t *testing.T) {
+func TestAdminTriesTheNextServerOnlyIfNothingWasReceived(t *testing.T) {
 	var received atomic.Int32
 	broken := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 		received.Add(1)
--- a/internal/client/fake_test.go
+++ b/internal/client/fake_test.go
@@ -15,7 +15,8 @@
 	"lynxhill.example/lynxhill/internal/wire/lynxapi"
 )
 
-// instance is a fake lynxhill instance. Each request takes the next script.
+// instance is a fake lynxhill instance. Each request to a profile is answered by
+// the next script.
 type instance struct {
 	t       *testing.T
 	server  *httptest.Server
@@ -24,9 +25,9 @@
 	keys    []string
 	asked   int
 	outcome lynxapi.OutcomeReply
-	ticket  string   // of the address answers, advised
-	others  []string // further addresses to give
-	weight  float64  // of the others; the own address has 1
+	ticket  string   // in the address answers, which advise its use if it is set
+	others  []string // further addresses in the address answers
+	weight  float64  // weight of others; the instance's own address has weight 1
 }
 
 // script answers one request to a profile.
@@ -38,7 +39,7 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/address", i.address)
 	mux.HandleFunc("POST /v1/profiles/{profile}/requests", i.send)
-	mux.HandleFunc("GET /v1/requests/{key}", i.tellOutcome)
+	mux.HandleFunc("GET /v1/requests/{key}", i.outcomeReply)
 	i.server = httptest.NewServer(mux)
 	t.Cleanup(i.server.Close)
 	return i
@@ -76,14 +77,14 @@
 	next(&eventWriter{w: w, r: r, key: req.Key}, req)
 }
 
-// advise gives a ticket with the address answers from now on.
+// advise makes later address answers contain the ticket and advise its use.
 func (i *instance) advise(ticket string) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.ticket = ticket
 }
 
-func (i *instance) tellOutcome(w http.ResponseWriter, r *http.Request) {
+func (i *instance) outcomeReply(w http.ResponseWriter, r *http.Request) {
 	i.mu.Lock()
 	reply := i.outcome
 	i.mu.Unlock()
@@ -141,7 +142,7 @@
 	e.event(lynxapi.EventEnd, lynxapi.SendReply{Key: e.key, Streamed: true, Length: length})
 }
 
-// cut breaks the connection.
+// cut aborts the connection.
 func (e *eventWriter) cut() { panic(http.ErrAbortHandler) }
 
 func whole(w *eventWriter, _ lynxapi.SendRequest) {
@@ -161,7 +162,7 @@
 	})
 }
 
-// sendStream sends one streamed request and returns what was delivered.
+// sendStream sends one streamed request and returns the text that was delivered.
 func sendStream(t *testing.T, c *Caller, attempts int) (delivered string, result Result, err error) {
 	t.Helper()
 	c.opts.MaxAttempts = attempts
@@ -176,14 +177,14 @@
 	return delivered, result, err
 }
 
-// counts returns how often addresses were asked for and requests were sent.
+// counts returns the numbers of address requests and of requests to a profile.
 func (i *instance) counts() (asked, sent int) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.asked, len(i.keys)
 }
 
-// closedAddress returns an address where nothing listens.
+// closedAddress returns an address that refuses connections.
 func closedAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/client/fuzz_test.go
+++ b/internal/client/fuzz_test.go
@@ -10,8 +10,9 @@
 	"lynxhill.example/lynxhill/internal/wire/lynxapi"
 )
 
-// FuzzReadStream checks that whatever bytes a stream holds, an answer without
-// an error is whole: its frames are contiguous and add up to its length.
+// FuzzReadStream checks that, for any bytes in a stream, an answer that is
+// returned without an error is complete: its frames are contiguous and their
+// lengths add up to its length.
 func FuzzReadStream(f *testing.F) {
 	end := func(length int) string {
 		return fmt.Sprintf("event: end\ndata: {\"key\":\"k\",\"streamed\":true,\"length\":%d}\n\n", length)
--- a/internal/client/resend.go
+++ b/internal/client/resend.go
@@ -10,72 +10,74 @@
 	"lynxhill.example/lynxhill/internal/wire/lynxapi"
 )
 
-// step is what to do after an error.
+// step is the action after a failed attempt.
 type step int
 
 const (
 	stepStop step = iota
-	stepElsewhere
-	stepLater
-	stepAsk
+	stepOtherInstance
+	stepBackoff
+	stepQueryOutcome
 )
 
-// final returns the error of the last attempt. An earlier attempt may have run
-// although the last one was certainly not: "not run" would then be a lie about
-// the request.
-func (s *sending) final(err error, worst errkind.RunState) error {
+// finalError returns the error of the whole request, given the error of the last
+// attempt. If the last attempt certainly did not run but an earlier one may
+// have, the kind is OutcomeUnknown, because reporting "not run" for the request
+// would be wrong.
+func (s *sending) finalError(err error, worst errkind.RunState) error {
 	if RunStateOf(err) == errkind.NotRun && worst != errkind.NotRun {
 		return errkind.Wrap(err, errkind.OutcomeUnknown, "an earlier attempt may have run; the last one failed")
 	}
 	return err
 }
 
-func worse(a, b errkind.RunState) errkind.RunState {
+func worseRunState(a, b errkind.RunState) errkind.RunState {
 	if a == errkind.NotRun {
 		return b
 	}
 	return a
 }
 
-func (s *sending) settle(reply lynxapi.SendReply, err error) (Result, error) {
+func (s *sending) settledResult(reply lynxapi.SendReply, err error) (Result, error) {
 	if err != nil {
-		return s.ended(), err
+		return s.resultWithoutAnswer(), err
 	}
 	return s.result(reply), nil
 }
 
-// stepAfter follows the error's resend advice. What a transport error has not
-// sent can go elsewhere at once; what it may have sent is asked for first.
+// stepAfter returns the action that the error's resend advice specifies. A call
+// that was certainly not sent can be retried at another instance at once; for
+// one that may have been sent, the outcome is requested first.
 func stepAfter(err error) step {
 	var transport *TransportError
 	if errors.As(err, &transport) {
 		if transport.Sent {
-			return stepAsk
+			return stepQueryOutcome
 		}
-		return stepElsewhere
+		return stepOtherInstance
 	}
 	if errors.Is(err, errReceiverStopped) {
 		return stepStop
 	}
 	if errors.Is(err, ErrNoServers) {
-		return stepLater
+		return stepBackoff
 	}
 	switch errkind.Of(err).Answer().Resend {
 	case errkind.ResendLater:
-		return stepLater
+		return stepBackoff
 	case errkind.ResendElsewhere:
-		return stepElsewhere
+		return stepOtherInstance
 	case errkind.ResendAsk:
-		return stepAsk
+		return stepQueryOutcome
 	}
 	return stepStop
 }
 
-// ask asks for the outcome of the key until it is settled, or until a resend
-// under the same key is the better question. Time that runs out while an
-// instance says that the request is running ends with that word, not with the
-// broken connection before.
-func (s *sending) ask(ctx context.Context, cause error) (reply lynxapi.SendReply, settled bool, err error) {
+// awaitOutcome requests the outcome of the key until it is settled, or until a
+// retry under the same key is the better way to find out. If the time runs out
+// while an instance reports that the request is running, the error says so
+// instead of reporting the earlier broken connection.
+func (s *sending) awaitOutcome(ctx context.Context, cause error) (reply lynxapi.SendReply, settled bool, err error) {
 	for ctx.Err() == nil {
 		found, err := s.caller.outcome(ctx, s.req.Organisation, s.req.Key, s.tried)
 		if err != nil && ctx.Err() != nil {
@@ -86,21 +88,21 @@
 		}
 		switch found.State {
 		case lynxapi.OutcomeDone:
-			return s.recorded(found)
+			return s.recordedAnswer(found)
 		case lynxapi.OutcomeFailed:
-			return s.failed(found)
+			return s.recordedFailure(found)
 		case lynxapi.OutcomeRunning:
 			cause = errkind.New(errkind.KeyInProgress, "the request was still running when its time was up")
-			s.pause(ctx, stepLater, nil)
+			s.backOff(ctx, stepBackoff, nil)
 		default:
-			return reply, false, nil // the instance that gets the resend knows more
+			return reply, false, nil // the instance that receives the retry has more information
 		}
 	}
 	return reply, true, cause
 }
 
-// recorded delivers the kept answer of a run that has ended.
-func (s *sending) recorded(found lynxapi.OutcomeReply) (lynxapi.SendReply, bool, error) {
+// recordedAnswer delivers the recorded answer of a request that has run.
+func (s *sending) recordedAnswer(found lynxapi.OutcomeReply) (lynxapi.SendReply, bool, error) {
 	if len(found.Output) == 0 {
 		err := errkind.New(errkind.OutcomeUnknown, "the request has run, but its answer is no longer kept")
 		return lynxapi.SendReply{}, true, err
@@ -113,22 +115,23 @@
 		Repeated:  true,
 	}
 	s.splice.begin()
-	return reply, true, s.splice.whole(found.Output)
+	return reply, true, s.splice.deliverWhole(found.Output)
 }
 
-// failed ends a request whose recorded error forbids a resend.
-func (s *sending) failed(found lynxapi.OutcomeReply) (lynxapi.SendReply, bool, error) {
+// recordedFailure returns the recorded error of a request and whether the error
+// forbids a retry.
+func (s *sending) recordedFailure(found lynxapi.OutcomeReply) (lynxapi.SendReply, bool, error) {
 	body := errkind.Body{Kind: found.ErrorKind, Message: "the request ended with " + found.ErrorKind}
 	err := body.Err()
 	return lynxapi.SendReply{}, stepAfter(err) == stepStop, err
 }
 
-// pause waits before the next attempt: as long as the instance said, else
-// longer each time, and by chance, so that callers that failed together do not
-// come back together.
-func (s *sending) pause(ctx context.Context, next step, err error) {
-	if next == stepElsewhere {
-		s.caller.book.expire()
+// backOff waits before the next attempt: for the Retry-After duration of err if
+// there is one, otherwise with exponential backoff. Both have jitter, so that
+// callers that failed together do not retry together.
+func (s *sending) backOff(ctx context.Context, next step, err error) {
+	if next == stepOtherInstance {
+		s.caller.addresses.expire()
 		if s.attempts < 3 {
 			return
 		}
@@ -136,8 +139,8 @@
 	wait := s.caller.opts.MinBackoff << min(s.attempts, 10)
 	wait = min(wait, s.caller.opts.MaxBackoff)
 	wait = wait/2 + rand.N(wait/2+1)
-	if told := errkind.RetryAfter(err); told > 0 {
-		wait = told + rand.N(told/4+1)
+	if retryAfter := errkind.RetryAfter(err); retryAfter > 0 {
+		wait = retryAfter + rand.N(retryAfter/4+1)
 	}
 	_ = sleep.For(ctx, wait)
 }
--- a/internal/client/silent_test.go
+++ b/internal/client/silent_test.go
@@ -17,14 +17,14 @@
 	"lynxhill.example/lynxhill/internal/wire/lynxapi"
 )
 
-// silentInstance takes every call and answers none; held counts the calls that
-// it holds now.
+// silentInstance starts a server that accepts every call and answers none. held
+// is the number of calls that are open now.
 func silentInstance(t *testing.T) (addr string, held *atomic.Int32) {
 	t.Helper()
 	held = new(atomic.Int32)
 	server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		held.Add(1)
-		_, _ = io.Copy(io.Discard, r.Body) // only then is a caller noticed that goes away
+		_, _ = io.Copy(io.Discard, r.Body) // the server detects a disconnect only after the body has been read
 		<-r.Context().Done()
 		held.Add(-1)
 	}))
@@ -32,33 +32,33 @@
 	return strings.TrimPrefix(server.URL, "http://"), held
 }
 
-// Symptom: requests with a deadline of one second were lost while one instance
-// was frozen. Events: the caller's address answer ran out, it asked the frozen
-// instance for a new one and waited out the limit for that. Cause: the next
-// instance was asked only after the one before had failed.
-func TestSilentInstanceDoesNotDelayTheQuestionForAddresses(t *testing.T) {
+// Guards against the loss of requests with a deadline of one second while one
+// instance is frozen. The caller's address answer expired, and the caller waited
+// for the whole timeout of an address request to the frozen instance, because
+// the next instance was asked only after that request had failed.
+func TestSilentInstanceDoesNotDelayAddressRequests(t *testing.T) {
 	silent, held := silentInstance(t)
 	i := newInstance(t, whole)
 	c := newTestCaller(silent, i.addr())
-	c.book.avoid(i.addr(), time.Now()) // so that the silent one is asked first
+	c.addresses.avoid(i.addr(), time.Now()) // so that the silent instance is asked first
 	answer, err := c.Address(t.Context())
 	if err != nil || len(answer.Addresses) == 0 || answer.Addresses[0].Address != i.addr() {
 		t.Fatalf("%+v %v", answer, err)
 	}
 	if held.Load() != 1 {
-		t.Fatal("the silent instance was given up before the next one was asked")
+		t.Fatal("the request to the silent instance ended before the next instance was asked")
 	}
 }
 
-// Symptom: as above, with a fresh address answer. Events: the request itself
-// went to the frozen instance. Cause: a stream was given up only after two
-// and a half heartbeats, longer than the deadline.
-func TestStreamThatDoesNotBeginGoesElsewhereWithinItsDeadline(t *testing.T) {
+// Guards against the same loss when the address answer is fresh and the request
+// itself goes to the frozen instance. A stream was abandoned only after two and a
+// half heartbeats, which is longer than the deadline.
+func TestStreamThatDoesNotStartIsRetriedElsewhereWithinItsDeadline(t *testing.T) {
 	silent, _ := silentInstance(t)
 	i := newInstance(t, whole)
 	c := newTestCaller(i.addr())
 	c.opts.Silence = time.Hour
-	c.book.keep(lynxapi.AddressAnswer{KeepMS: 60000, Addresses: []lynxapi.Address{
+	c.addresses.store(lynxapi.AddressAnswer{KeepMS: 60000, Addresses: []lynxapi.Address{
 		{Address: silent, Weight: 1e9}, {Address: i.addr(), Weight: 1e-9},
 	}}, time.Now())
 	req := lynxapi.SendRequest{Organisation: "agency", Input: json.RawMessage(`{}`), Stream: true, DeadlineMS: 8000}
@@ -66,7 +66,7 @@
 	if err != nil || result.Server != i.addr() || result.Attempts != 2 {
 		t.Fatalf("%+v %v", result, err)
 	}
-	if !c.book.isAvoided(silent, time.Now()) {
+	if !c.addresses.isAvoided(silent, time.Now()) {
 		t.Fatal("the next request would go to the silent instance again")
 	}
 }
@@ -75,19 +75,19 @@
 
 func (f roundTrip) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
 
-// Symptom: after a connection of an instance went silent, the slowest requests
-// took a quarter of their deadline longer. Events: the next request went out on
-// it. Cause: it was waited on like a new one, whose stream may begin late.
+// Guards against requests that take a quarter of their deadline longer after a
+// connection to an instance became unresponsive. The next request reused that
+// connection and waited as long as on a new one, whose stream may start late.
 func TestKeptConnectionThatIsSilentIsGivenUpSoon(t *testing.T) {
 	for _, c := range []struct {
 		deadlineMS int64
 		want       time.Duration
-		reused     []bool // of the connections that the transport takes
+		reused     []bool // for each connection that the transport gets, in order
 	}{
 		{8000, 2 * time.Second, []bool{false}},
-		{8000, leastHeaderWait, []bool{true}},
-		{0, leastHeaderWait, []bool{true}},
-		{8000, 2 * time.Second, []bool{true, false}}, // the first was found closed
+		{8000, minHeaderWait, []bool{true}},
+		{0, minHeaderWait, []bool{true}},
+		{8000, 2 * time.Second, []bool{true, false}}, // the first connection was found closed
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			caller, start := NewCaller(CallerOptions{}), time.Now()
@@ -106,15 +106,15 @@
 	}
 }
 
-// Guards against requests that are given up at a busy instance on a connection
-// that has answered just before.
+// Guards against abandoning requests to a busy instance on a connection that
+// has answered very recently.
 func TestConnectionThatJustAnsweredIsNotTakenForSilent(t *testing.T) {
 	for _, c := range []struct {
 		idle time.Duration
 		want time.Duration
 	}{
-		{provenFor - time.Millisecond, 2 * time.Second},
-		{provenFor, leastHeaderWait},
+		{provenIdle - time.Millisecond, 2 * time.Second},
+		{provenIdle, minHeaderWait},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			caller, start := NewCaller(CallerOptions{}), time.Now()
@@ -131,12 +131,12 @@
 	}
 }
 
-// Symptom: a caller ended with a broken connection although an instance had
-// answered every question about its request. Events: the stream broke; asked
-// for the outcome, the instance said "running" until the deadline. Cause: the
-// error from before the questions was returned.
-func TestRunningToTheEndIsTheLastWord(t *testing.T) {
-	i := newInstance(t, func(w *eventWriter, _ lynxapi.SendRequest) { w.begin() }) // no end mark
+// Guards against reporting a broken connection although an instance has answered
+// every outcome request. The stream broke, and the instance reported the request
+// as running until the deadline; the error from before the outcome requests was
+// returned.
+func TestRequestStillRunningAtTheDeadlineIsReportedAsRunning(t *testing.T) {
+	i := newInstance(t, func(w *eventWriter, _ lynxapi.SendRequest) { w.begin() }) // no end event
 	i.outcome.State = lynxapi.OutcomeRunning
 	req := lynxapi.SendRequest{Organisation: "agency", Input: json.RawMessage(`{}`), Stream: true, DeadlineMS: 50}
 	_, err := newTestCaller(i.addr()).Send(t.Context(), "check", req, nil)
@@ -145,9 +145,9 @@
 	}
 }
 
-// Symptom: while all instances were replaced, callers ended after two seconds
-// of a deadline of five. Events: eight connections were refused. Cause: an
-// attempt that reached nobody counted like one that was answered.
+// Guards against requests that fail after two seconds of a deadline of five while
+// all instances are replaced. Eight connections were refused, and an attempt that
+// reached no instance counted like one that was answered.
 func TestRefusedConnectionsDoNotUseTheAttemptsUp(t *testing.T) {
 	dead := closedAddress(t)
 	c := newTestCaller(dead)
--- a/internal/client/stream.go
+++ b/internal/client/stream.go
@@ -15,78 +15,80 @@
 	"lynxhill.example/lynxhill/internal/wire/lynxapi"
 )
 
-// maxEventBytes bounds one event; an answer that was not streamed comes whole
-// in the last one.
+// maxEventBytes is the maximum size of one event. The last event contains the
+// whole answer if the answer was not streamed.
 const maxEventBytes = 16 << 20
 
-// ErrSilent is the cause of a stream that was given up because it sent nothing,
-// not even a heartbeat.
+// ErrSilent is the cause of the error of a stream that was abandoned because it
+// sent nothing for too long, not even a heartbeat.
 var ErrSilent = errors.New("the stream was silent too long")
 
-// errReceiverStopped says that a FrameFunc returned an error.
+// errReceiverStopped is wrapped by the error of a request whose FrameFunc
+// returned an error.
 var errReceiverStopped = errors.New("the receiver of the answer stopped")
 
-// FrameFunc takes the next piece of a streamed answer. An error stops the
-// request.
+// FrameFunc receives the next frame of a streamed answer. If it returns an
+// error, the request is stopped.
 type FrameFunc func(frame lynxapi.Frame) error
 
-// splice joins the streams of several attempts into one answer. What the
-// caller already has is not delivered again; a later attempt must repeat it
-// exactly, or its rest does not belong behind it.
+// splice joins the streams of several attempts into one answer. Text that was
+// already delivered is not delivered again. A later attempt must repeat that
+// text exactly; otherwise its remainder does not continue the same answer.
 type splice struct {
 	deliver   FrameFunc
 	delivered strings.Builder
-	seen      int // bytes of the attempt's answer so far
+	seen      int // bytes of the answer received in the current attempt
 }
 
 // begin starts the next attempt.
 func (s *splice) begin() { s.seen = 0 }
 
-// add takes a frame of the current attempt.
+// add processes a frame of the current attempt and delivers the text that is new.
 func (s *splice) add(frame lynxapi.Frame) error {
 	if frame.Offset != s.seen {
-		return broken("a frame at offset %d follows %d bytes", frame.Offset, s.seen)
+		return streamBroken("a frame at offset %d follows %d bytes", frame.Offset, s.seen)
 	}
 	have := s.delivered.String()
 	old := min(len(frame.Text), max(len(have)-s.seen, 0))
 	if old > 0 && have[s.seen:s.seen+old] != frame.Text[:old] {
-		return broken("the answer differs from what was delivered before")
+		return streamBroken("the answer differs from what was delivered before")
 	}
 	s.seen += len(frame.Text)
-	fresh := frame.Text[old:]
-	if fresh == "" {
+	unseen := frame.Text[old:]
+	if unseen == "" {
 		return nil
 	}
 	offset := len(have)
-	s.delivered.WriteString(fresh)
+	s.delivered.WriteString(unseen)
 	if s.deliver == nil {
 		return nil
 	}
-	if err := s.deliver(lynxapi.Frame{Offset: offset, Text: fresh}); err != nil {
+	if err := s.deliver(lynxapi.Frame{Offset: offset, Text: unseen}); err != nil {
 		return errkind.Wrap(fmt.Errorf("%w: %w", errReceiverStopped, err), errkind.Cancelled, "stream")
 	}
 	return nil
 }
 
-// end checks the attempt's answer against its end mark.
+// end checks the attempt's answer against its end event.
 func (s *splice) end(reply lynxapi.SendReply) error {
 	if !reply.Streamed {
-		return s.whole(reply.Output)
+		return s.deliverWhole(reply.Output)
 	}
 	if reply.Length != s.seen {
-		return broken("the answer has %d bytes, its end mark says %d", s.seen, reply.Length)
+		return streamBroken("the answer has %d bytes, its end mark says %d", s.seen, reply.Length)
 	}
 	return s.complete()
 }
 
-// whole takes an answer that came in one piece, such as the recorded one of a
-// request that was sent before. Text is delivered like a frame; any other JSON
-// only stands in the reply, and can't continue a text.
-func (s *splice) whole(output json.RawMessage) error {
+// deliverWhole processes an answer that arrived in one piece, such as the
+// recorded answer of an earlier attempt. A JSON string is delivered like a
+// frame. Any other JSON value is available only in the reply, and cannot
+// continue text that was delivered before.
+func (s *splice) deliverWhole(output json.RawMessage) error {
 	var text string
 	if json.Unmarshal(output, &text) != nil {
 		if s.delivered.Len() > 0 {
-			return broken("the recorded answer is no text, unlike what was delivered before")
+			return streamBroken("the recorded answer is no text, unlike what was delivered before")
 		}
 		return nil
 	}
@@ -99,18 +101,18 @@
 
 func (s *splice) complete() error {
 	if s.seen < s.delivered.Len() {
-		return broken("the answer ends at byte %d, after %d were delivered before", s.seen, s.delivered.Len())
+		return streamBroken("the answer ends at byte %d, after %d were delivered before", s.seen, s.delivered.Len())
 	}
 	return nil
 }
 
-func broken(format string, args ...any) error {
+func streamBroken(format string, args ...any) error {
 	return errkind.New(errkind.StreamBroken, "%s", fmt.Sprintf(format, args...))
 }
 
-// readStream reads the events of one attempt until its end. Every way of
-// ending without an end mark or an error event is an error: a truncated answer
-// must not pass for whole.
+// readStream reads the events of one attempt until its last event. A stream that
+// ends without an end or error event is always an error, so that a truncated
+// answer is not mistaken for a complete one.
 func (c *Caller) readStream(base string, body io.ReadCloser, req lynxapi.SendRequest, s *splice) (lynxapi.SendReply, error) {
 	defer body.Close()
 	watch := watchSilence(body, c.opts.Silence)
@@ -120,7 +122,7 @@
 		if err != nil {
 			return lynxapi.SendReply{}, &TransportError{Server: base, Sent: true, Err: watch.explain(err)}
 		}
-		reply, done, err := take(event, req, s)
+		reply, done, err := handleEvent(event, req, s)
 		if err != nil || done {
 			return reply, err
 		}
@@ -128,15 +130,15 @@
 	return lynxapi.SendReply{}, &TransportError{Server: base, Sent: true, Err: watch.explain(io.ErrUnexpectedEOF)}
 }
 
-// take handles one event; done says that it was the last.
-func take(event sse.Event, req lynxapi.SendRequest, s *splice) (reply lynxapi.SendReply, done bool, err error) {
+// handleEvent processes one event; done reports whether it was the last one.
+func handleEvent(event sse.Event, req lynxapi.SendRequest, s *splice) (reply lynxapi.SendReply, done bool, err error) {
 	switch event.Type {
 	case lynxapi.EventAccepted:
 		var accepted lynxapi.Accepted
 		if err := decodeEvent(event, &accepted); err != nil {
 			return reply, false, err
 		}
-		return reply, false, checkOwn(accepted.Key, req.Key)
+		return reply, false, checkKey(accepted.Key, req.Key)
 	case lynxapi.EventFrame:
 		var frame lynxapi.Frame
 		if err := decodeEvent(event, &frame); err != nil {
@@ -147,7 +149,7 @@
 		if err := decodeEvent(event, &reply); err != nil {
 			return reply, false, err
 		}
-		if err := checkOwn(reply.Key, req.Key); err != nil {
+		if err := checkKey(reply.Key, req.Key); err != nil {
 			return reply, false, err
 		}
 		return reply, true, s.end(reply)
@@ -158,28 +160,28 @@
 		}
 		return reply, false, body.Err()
 	}
-	return reply, false, nil // a heartbeat, or an event of a later version
+	return reply, false, nil // a heartbeat, or an event type of a later version
 }
 
 func decodeEvent(event sse.Event, message any) error {
 	if err := json.Unmarshal([]byte(event.Data), message); err != nil {
-		return broken("malformed %s event", event.Type)
+		return streamBroken("malformed %s event", event.Type)
 	}
 	return nil
 }
 
-// checkOwn refuses an answer to another request.
-func checkOwn(got, want string) error {
+// checkKey returns an error if the answer's key is not that of the request.
+func checkKey(got, want string) error {
 	if got != want {
-		return broken("the answer belongs to another request")
+		return streamBroken("the answer belongs to another request")
 	}
 	return nil
 }
 
-// silenceWatch closes a body that has been silent too long. An open connection
-// that something between the two ends has lost track of never ends and never
-// fails; one would notice only that the answer stops coming. Instances send a
-// heartbeat every second, so silence means such a connection.
+// silenceWatch closes a response body that has sent nothing for too long. A
+// connection that was lost on the network path without being closed neither ends
+// nor fails; the answer just stops arriving. Instances send a heartbeat every
+// second, so silence indicates such a connection.
 type silenceWatch struct {
 	body    io.ReadCloser
 	limit   time.Duration
@@ -207,7 +209,7 @@
 
 func (w *silenceWatch) stop() { w.timer.Stop() }
 
-// explain replaces the error of the closed body by its cause.
+// explain returns ErrSilent if the watch closed the body, otherwise err.
 func (w *silenceWatch) explain(err error) error {
 	if w.expired.Load() {
 		return ErrSilent
