--- a/internal/control/profilesync/isolation_test.go
+++ b/internal/control/profilesync/isolation_test.go
@@ -60,7 +60,7 @@
 // A zone loses its links to the platform and to the other zones, and the change
 // is accepted outside it. The instances of the zone still have one another as
 // peers, which must not be enough to go on serving.
-func TestZoneCutOffTakesNoWorkOnceAChangeIsAccepted(t *testing.T) {
+func TestPlaceCutOffTakesNoWorkOnceAChangeIsAccepted(t *testing.T) {
 	settled(t, 8, func(f *fleet) {
 		first := f.set(0, "check", 1, 0, "c1", time.Minute)
 		f.cutOff([]int{1, 5})
