--- a/internal/client/send.go
+++ b/internal/client/send.go
@@ -270,7 +270,7 @@
 }
 
 // explainSilence replaces the error of a call that was cancelled for silence
-// with ErrSilent.
+// with ErrIdleTimeout.
 func explainSilence(ctx context.Context, err error) error {
 	var transport *TransportError
 	if errors.Is(context.Cause(ctx), ErrIdleTimeout) && errors.As(err, &transport) {
--- a/internal/client/stream.go
+++ b/internal/client/stream.go
@@ -209,7 +209,7 @@
 
 func (w *silenceWatch) stop() { w.timer.Stop() }
 
-// explain returns ErrSilent if the watch closed the body, otherwise err.
+// explain returns ErrIdleTimeout if the watch closed the body, otherwise err.
 func (w *silenceWatch) explain(err error) error {
 	if w.expired.Load() {
 		return ErrIdleTimeout
